--- a/cli/src/main/kotlin/lagoonrudder/cli/RequestStory.kt
+++ b/cli/src/main/kotlin/lagoonrudder/cli/RequestTrace.kt
@@ -10,7 +10,7 @@
 import java.time.Duration
 
 /** The story of [request] over [lines] of any number of processes; empty when no line names it. */
-internal fun storyOf(
+internal fun traceRequest(
     request: String,
     lines: List<LogLine>,
 ): List<String> {
--- a/cli/src/main/kotlin/lagoonrudder/cli/TraceCommand.kt
+++ b/cli/src/main/kotlin/lagoonrudder/cli/TraceCommand.kt
@@ -18,7 +18,7 @@
 
     override fun run() {
         val lines = files.flatMap { file -> File(file).useLines { lines -> lines.mapNotNull { readLogLine(it) }.toList() } }
-        val story = storyOf(request, lines)
+        val story = traceRequest(request, lines)
         story.forEach { console.print(it) }
         if (story.isEmpty()) console.fail("no line of ${files.size} files names request $request", EXIT_FINDINGS)
     }
--- a/cli/src/test/kotlin/lagoonrudder/cli/RequestStoryTest.kt
+++ b/cli/src/test/kotlin/lagoonrudder/cli/RequestTraceTest.kt
@@ -13,7 +13,7 @@
 
 private fun lines(vararg texts: String) = texts.map { readLogLine(it).shouldNotBeNull() }
 
-class RequestStoryTest :
+class RequestTraceTest :
     FunSpec({
         test("a line is read with quoted values, whatever stands before its time") {
             val line = readLogLine("  3.2 node $DAY:06.643 level=INFO event=paused process=a for=\"2 s\" at=4").shouldNotBeNull()
@@ -31,7 +31,7 @@
 
         test("a request's line comes after what its own process believed last, in order") {
             val story =
-                storyOf(
+                traceRequest(
                     "r1",
                     lines(
                         "$DAY:03.000 level=INFO event=configuration-in-force process=a revision=2",
@@ -52,6 +52,6 @@
         }
 
         test("a request that no line names has no story") {
-            storyOf("r2", lines("$DAY:05.000 level=INFO event=request-ended process=a request=r1 attempts=")).shouldBeEmpty()
+            traceRequest("r2", lines("$DAY:05.000 level=INFO event=request-ended process=a request=r1 attempts=")).shouldBeEmpty()
         }
     })
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationLoop.kt
@@ -30,15 +30,15 @@
 import lagoonrudder.wire.documents.SealedHead
 import lagoonrudder.wire.documents.readHead
 import lagoonrudder.wire.documents.readParts
-import lagoonrudder.wire.documents.readWhole
+import lagoonrudder.wire.documents.readFullSet
 import lagoonrudder.wire.documents.writeChanges
-import lagoonrudder.wire.documents.writeWhole
+import lagoonrudder.wire.documents.writeFullSet
 import lagoonrudder.wire.messages.ExchangeMessage
 import lagoonrudder.wire.messages.ExchangeReply
 import lagoonrudder.wire.messages.OfferMessage
 import lagoonrudder.wire.messages.OfferReply
 import lagoonrudder.wire.messages.toMessage
-import lagoonrudder.wire.rpc.ExchangeAnswer
+import lagoonrudder.wire.rpc.ExchangeResult
 import java.util.concurrent.ConcurrentHashMap
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -87,13 +87,13 @@
     /** A peer passed a set on. */
     suspend fun take(message: OfferMessage): OfferReply {
         val peer = Peer(PeerRole.ENTRY, message.sender)
-        if (message.whole) {
+        if (message.full) {
             offerWholeText(message.text, peer)
             return OfferReply()
         }
         val head = readHead(message.text, peer).getOrElse { return reject(it) }
-        val changes = head.changes ?: return OfferReply(wholeNeeded = true)
-        return OfferReply(wholeNeeded = !offerChanges(changes, peer))
+        val changes = head.changes ?: return OfferReply(fullSetRequired = true)
+        return OfferReply(fullSetRequired = !offerChanges(changes, peer))
     }
 
     /** A peer says what it has and is told what is newer here. */
@@ -138,7 +138,7 @@
         changes: SealedChanges?,
     ): OfferMessage {
         val sender = core.settings.name.text
-        return if (changes == null) OfferMessage(sender, true, writeWhole(current)) else OfferMessage(sender, false, writeChanges(changes))
+        return if (changes == null) OfferMessage(sender, true, writeFullSet(current)) else OfferMessage(sender, false, writeChanges(changes))
     }
 
     /** Runs [watch] over and over while this daemon is a watcher, with pauses that grow while it fails. */
@@ -223,7 +223,7 @@
         text: String,
         peer: Peer,
     ) {
-        readWhole(text, peer).fold({ reject(it) }) { offerWhole(it, peer) }
+        readFullSet(text, peer).fold({ reject(it) }) { offerWhole(it, peer) }
     }
 
     /** Offers changes; false when the whole set is needed. */
@@ -308,8 +308,8 @@
         set: SealedSet,
     ) {
         val reply = core.rpc.offer(child.address, message, OFFER_LIMIT)
-        val wholeNeeded = reply.fold({ unheard(child.daemon, it) }, { it.wholeNeeded })
-        if (wholeNeeded) core.rpc.offer(child.address, OfferMessage(core.settings.name.text, true, writeWhole(set)), OFFER_LIMIT)
+        val fullSetRequired = reply.fold({ unheard(child.daemon, it) }, { it.fullSetRequired })
+        if (fullSetRequired) core.rpc.offer(child.address, OfferMessage(core.settings.name.text, true, writeFullSet(set)), OFFER_LIMIT)
     }
 
     private suspend fun unheard(
@@ -377,19 +377,19 @@
     }
 
     private suspend fun takeReply(
-        reply: ExchangeAnswer,
+        reply: ExchangeResult,
         address: Address,
         own: SealedSet,
     ) {
         reply.instances?.let { changes -> core.thread.decide { if (core.membership.apply(changes)) changed() } }
         val offer = reply.offer
         if (offer != null) {
-            val wholeNeeded = take(offer).wholeNeeded
-            if (wholeNeeded) core.rpc.exchange(address, ExchangeMessage(), OFFER_LIMIT).onRight { whole -> whole.offer?.let { take(it) } }
+            val fullSetRequired = take(offer).fullSetRequired
+            if (fullSetRequired) core.rpc.exchange(address, ExchangeMessage(), OFFER_LIMIT).onRight { full -> full.offer?.let { take(it) } }
             return
         }
         val peerBehind = isNewer(own, reply.revision, reply.digest)
-        if (peerBehind) core.rpc.offer(address, OfferMessage(core.settings.name.text, true, writeWhole(own)), OFFER_LIMIT)
+        if (peerBehind) core.rpc.offer(address, OfferMessage(core.settings.name.text, true, writeFullSet(own)), OFFER_LIMIT)
     }
 
     private companion object {
--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/ObjectText.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/ObjectText.kt
@@ -64,7 +64,7 @@
                 ?: raise(section.malformed("", "expected a header [kind name] with kind one of $kinds and a name of a-z 0-9 . _ -"))
         with(section) {
             val value = readKind(section, key)
-            nothingElse()
+            rejectUnknownKeys()
             value
         }
     }
@@ -75,10 +75,10 @@
 ): OperatorObject =
     with(section) {
         when (key.kind) {
-            ObjectKind.REGION -> OperatorObject.Region(RegionId(key.name), yesOrNo("origin"))
+            ObjectKind.REGION -> OperatorObject.Region(RegionId(key.name), boolean("origin"))
             ObjectKind.LINK -> OperatorObject.Link(key.name, RegionId(text("first")), RegionId(text("second")), long("bytes-per-second"))
             ObjectKind.DOMAIN ->
-                OperatorObject.Domain(DomainId(key.name), RegionId(text("region")), choice("service", Service.entries))
+                OperatorObject.Domain(DomainId(key.name), RegionId(text("region")), enumValue("service", Service.entries))
             ObjectKind.CUSTOMER -> OperatorObject.Customer(CustomerId(key.name), text("token"), int("weight"))
             ObjectKind.MODEL -> OperatorObject.Model(ModelId(key.name))
             ObjectKind.VERSION -> readVersion(section, key.name)
@@ -110,7 +110,7 @@
     with(section) {
         OperatorObject.Fleet(
             id = FleetId(name),
-            kind = choice("kind", FleetKind.entries),
+            kind = enumValue("kind", FleetKind.entries),
             version = optionalText("version")?.let(::VersionId),
             replaces = optionalText("replaces")?.let(::VersionId),
             floor = double("floor"),
@@ -126,7 +126,7 @@
             id = TargetId(name),
             fleet = FleetId(text("fleet")),
             domain = DomainId(text("domain")),
-            service = choice("service", Service.entries),
+            service = enumValue("service", Service.entries),
             weightBytes = long("weight-bytes"),
             memoryTokens = long("memory-tokens"),
             requests = int("requests"),
@@ -143,7 +143,7 @@
             path = text("path"),
             fleet = FleetId(text("fleet")),
             deadline = duration("deadline"),
-            idempotent = yesOrNo("idempotent"),
+            idempotent = boolean("idempotent"),
             priority = int("priority"),
             fallback = optionalText("fallback")?.let(::RouteId),
         )
--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/SealedDocument.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/SealedDocument.kt
@@ -75,7 +75,7 @@
     headText(changes.revision, changes.digest, emptyList(), changes) + writeObjects(changes.changes.changed)
 
 /** The text that carries the whole of [set], for peers. */
-fun writeWhole(set: SealedSet): String =
+fun writeFullSet(set: SealedSet): String =
     headText(set.revision, set.digest, listOf(set.digest), null) + writeObjects(set.objects.byKey.values)
 
 /** Reads a head from the platform or changes from a peer; objects in it belong to its changes. */
@@ -106,7 +106,7 @@
     }
 
 /** Reads a whole set that a peer sent as one text. */
-fun readWhole(
+fun readFullSet(
     text: String,
     peer: Peer,
 ): Either<Failure, SealedSet> =
@@ -206,7 +206,7 @@
         val base = optionalText("base")?.let { Revision(long("base")) }
         val baseDigest = optionalText("base-digest")?.let(::Digest)
         val removed = readRemoved(section)
-        nothingElse()
+        rejectUnknownKeys()
         val changes =
             if (base != null && baseDigest != null) {
                 SealedChanges(base, baseDigest, revision, digest, ObjectChanges(objects, removed))
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/DirectMessages.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/DirectMessages.kt
@@ -65,19 +65,19 @@
     @ProtoNumber(4) val value: ByteArray,
 )
 
-/** What a daemon says of itself; [wantsItems] asks for the items that changed after [at], [wantsPeers] for who is alive. */
+/** What a daemon says of itself; [itemsRequested] asks for the items that changed after [at], [peersRequested] for who is alive. */
 @Serializable
-data class WordMessage(
+data class GossipMessage(
     @ProtoNumber(1) val self: PeerMessage,
     @ProtoNumber(2) val at: Long,
-    @ProtoNumber(3) val wantsItems: Boolean = false,
+    @ProtoNumber(3) val itemsRequested: Boolean = false,
     @ProtoNumber(4) val loads: List<LoadMessage> = emptyList(),
     @ProtoNumber(5) val slot: SlotMessage? = null,
-    @ProtoNumber(6) val wantsPeers: Boolean = false,
+    @ProtoNumber(6) val peersRequested: Boolean = false,
 )
 
 @Serializable
-class WordReply(
+class GossipReply(
     @ProtoNumber(1) val self: PeerMessage,
     @ProtoNumber(2) val at: Long,
     @ProtoNumber(3) val loads: List<LoadMessage> = emptyList(),
@@ -115,7 +115,7 @@
     SlotMessage(backEnd.toString(), born, held?.model?.text.orEmpty(), held?.number?.number ?: 0, held?.layers ?: 0, closed)
 
 /** Null when the address of the back end is none. */
-fun SlotMessage.toWord(): SlotWord? {
+fun SlotMessage.toSlotWord(): SlotWord? {
     val held = if (model.isEmpty()) null else HeldWeights(ModelId(model), WeightNumber(number), layers)
     return addressOrNull(backEnd)?.let { SlotWord(it, born, held, closed) }
 }
--- a/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcClient.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcClient.kt
@@ -55,7 +55,7 @@
 import kotlin.time.Duration
 
 /** What a peer has in force, and what is newer there. */
-class ExchangeAnswer(
+class ExchangeResult(
     val revision: Revision,
     val digest: Digest,
     val offer: OfferMessage?,
@@ -117,9 +117,9 @@
         address: Address,
         message: ExchangeMessage,
         limit: Duration,
-    ): Either<Failure, ExchangeAnswer> =
+    ): Either<Failure, ExchangeResult> =
         call(Methods.exchange, address, Use.BULK, message, limit, Step.EXCHANGE_CONFIGURATION, PeerRole.ENTRY) {
-            ExchangeAnswer(Revision(it.revision), Digest(it.digest), it.offer, it.instances?.toChanges())
+            ExchangeResult(Revision(it.revision), Digest(it.digest), it.offer, it.instances?.toChanges())
         }
 
     suspend fun offer(
@@ -197,8 +197,8 @@
                 .disableRetry()
                 .keepAliveTime(KEEPALIVE_SECONDS, TimeUnit.SECONDS)
                 .keepAliveTimeout(KEEPALIVE_SECONDS / 2, TimeUnit.SECONDS)
-                .maxInboundMessageSize(LARGEST_MESSAGE_BYTES)
-        if (use == Use.REQUESTS) builder.flowControlWindow(TRAFFIC_WINDOW_BYTES)
+                .maxInboundMessageSize(MAX_MESSAGE_BYTES)
+        if (use == Use.REQUESTS) builder.flowControlWindow(REQUEST_WINDOW_BYTES)
         return builder.build()
     }
 }
