--- a/cli/src/main/kotlin/lagoonrudder/cli/DaemonCommands.kt
+++ b/cli/src/main/kotlin/lagoonrudder/cli/DaemonCommands.kt
@@ -1,5 +1,5 @@
 /**
- * The commands that ask daemons for their state.
+ * The commands that query daemons for their state.
  */
 @file:OptIn(ExperimentalCli::class)
 
@@ -19,12 +19,12 @@
 import java.io.IOException
 import kotlin.time.Duration.Companion.seconds
 
-private val LIMIT = 5.seconds
+private val RESPONSE_TIMEOUT = 5.seconds
 
 internal fun daemonCommands(console: Console): List<Subcommand> =
     listOf(
-        DaemonCommand(console, "status", "Show one line of state for each daemon", "status"),
-        DaemonCommand(console, "dump", "Show the whole state of each daemon", "dump"),
+        DaemonCommand(console, "status", "Show a one-line status of each daemon", "status"),
+        DaemonCommand(console, "dump", "Show the full state of each daemon", "dump"),
     )
 
 internal class DaemonCommand(
@@ -33,26 +33,26 @@
     description: String,
     private val path: String,
 ) : Subcommand(name, description) {
-    private val addresses by argument(ArgType.String, description = "operators' addresses of daemons, such as 127.0.0.1:9001").vararg()
+    private val addresses by argument(ArgType.String, description = "operator addresses of daemons, such as 127.0.0.1:9001").vararg()
 
     override fun execute() =
         runBlocking {
-            HttpClient(CIO).use { client -> addresses.forEach { ask(client, it) } }
+            HttpClient(CIO).use { client -> addresses.forEach { query(client, it) } }
         }
 
-    private suspend fun ask(
+    private suspend fun query(
         client: HttpClient,
         address: String,
     ) {
         if (addressOrNull(address) == null) {
-            return console.fail("address $address: expected an IP number and a port such as 127.0.0.1:9001", EXIT_WRONG_INPUT)
+            return console.fail("address $address: expected an IP address and port such as 127.0.0.1:9001", EXIT_INVALID_INPUT)
         }
         try {
-            val text = withTimeoutOrNull(LIMIT) { client.get("http://$address/$path").bodyAsText() }
+            val text = withTimeoutOrNull(RESPONSE_TIMEOUT) { client.get("http://$address/$path").bodyAsText() }
             if (text ==
                 null
             ) {
-                console.fail("step=dump peer=$address no answer within $LIMIT", EXIT_UNREACHABLE)
+                console.fail("step=dump peer=$address no response within $RESPONSE_TIMEOUT", EXIT_UNREACHABLE)
             } else {
                 console.print(text.trimEnd())
             }
--- a/cli/src/main/kotlin/lagoonrudder/cli/LogLine.kt
+++ b/cli/src/main/kotlin/lagoonrudder/cli/LogLine.kt
@@ -1,5 +1,5 @@
 /**
- * One line of a daemon's log: a time, and fields as key=value.
+ * Parses a line of a daemon's log: a timestamp and fields as key=value.
  */
 package lagoonrudder.cli
 
@@ -17,7 +17,7 @@
     operator fun get(field: String): String? = fields[field]
 }
 
-/** Reads [text], which may have something before its time; null for a line that is no event. */
+/** Parses [text], which may have a prefix before its timestamp. Returns null if the line is not an event. */
 internal fun readLogLine(text: String): LogLine? {
     val time = TIME.find(text) ?: return null
     val fields = FIELD.findAll(text, time.range.last).associate { it.groupValues[1] to it.groupValues[2].removeSurrounding("\"") }
@@ -25,7 +25,7 @@
     return try {
         LogLine(LocalDateTime.parse(time.value), text.substring(time.range.first), fields)
     } catch (_: DateTimeParseException) {
-        // A number of the right shape that is no time makes no event.
+        // The text has the shape of a timestamp but is not a valid time, such as month 99.
         null
     }
 }
--- a/cli/src/main/kotlin/lagoonrudder/cli/Main.kt
+++ b/cli/src/main/kotlin/lagoonrudder/cli/Main.kt
@@ -1,9 +1,9 @@
 /**
- * The command-line tool: checks, seals and compares sets of objects, edits them, asks daemons for their state, and explains a
- * request from their logs.
+ * The command-line tool: checks, seals, compares and edits sets of objects, queries the state of daemons, and traces a request
+ * through their logs.
  *
- * It edits files and never writes to the platform. Exit codes: 0 done, 1 the input has findings, 2 the input can't be
- * read, 3 a daemon did not answer.
+ * It edits files and never writes to the platform. Exit codes: 0 success, 1 the input has findings, 2 the input can't be
+ * read, 3 a daemon did not respond.
  */
 package lagoonrudder.cli
 
@@ -12,7 +12,7 @@
 import kotlin.system.exitProcess
 
 internal const val EXIT_FINDINGS = 1
-internal const val EXIT_WRONG_INPUT = 2
+internal const val EXIT_INVALID_INPUT = 2
 internal const val EXIT_UNREACHABLE = 3
 
 @OptIn(ExperimentalCli::class)
@@ -21,12 +21,12 @@
     val console = Console()
     val commands = objectCommands(console) + daemonCommands(console) + TraceCommand(console)
     parser.subcommands(*commands.toTypedArray())
-    val words = if (arguments.isEmpty()) arrayOf("--help") else arguments
-    parser.parse(words)
+    val effective = if (arguments.isEmpty()) arrayOf("--help") else arguments
+    parser.parse(effective)
     exitProcess(console.exitCode)
 }
 
-/** Where commands print and how they end. */
+/** Output and exit code of commands. The exit code is the highest that a failure reported. */
 class Console(
     private val out: (String) -> Unit = ::println,
     private val errors: (String) -> Unit = System.err::println,
--- a/cli/src/main/kotlin/lagoonrudder/cli/ObjectCommands.kt
+++ b/cli/src/main/kotlin/lagoonrudder/cli/ObjectCommands.kt
@@ -1,5 +1,5 @@
 /**
- * The commands on files of objects.
+ * The commands that work on object files.
  */
 @file:OptIn(ExperimentalCli::class)
 
@@ -40,12 +40,12 @@
         SealCommand(console),
         DiffCommand(console),
         ExplainCommand(console),
-        ServiceCommand(console, "out", "Take a failure domain or a target out of service in a file of objects", Service.OUT),
-        ServiceCommand(console, "in", "Bring a failure domain or a target back into service in a file of objects", Service.IN),
+        ServiceCommand(console, "out", "Take a failure domain or a target out of service in an object file", Service.OUT),
+        ServiceCommand(console, "in", "Bring a failure domain or a target back into service in an object file", Service.IN),
         ManifestCommand(console),
     )
 
-/** A file could not be read. */
+/** Thrown if a file can't be read. [line] is the error to print. */
 internal class UnreadableFile(
     val line: String,
 ) : Exception(line)
@@ -59,18 +59,18 @@
         try {
             run()
         } catch (unreadable: UnreadableFile) {
-            console.fail(unreadable.line, EXIT_WRONG_INPUT)
+            console.fail(unreadable.line, EXIT_INVALID_INPUT)
         } catch (unreadable: IOException) {
-            console.fail("cannot read or write: ${unreadable.message}", EXIT_WRONG_INPUT)
+            console.fail("cannot read or write: ${unreadable.message}", EXIT_INVALID_INPUT)
         }
     }
 
     protected abstract fun run()
 
-    /** Reads a file of objects; its findings are printed and null is returned when it has any. */
+    /** Reads and checks an object file. Prints any findings and returns null. */
     protected fun readOrReport(file: String): ObjectSet? {
         val read = readObjects(textOf(file), file)
-        val checked = read.fold({ findings -> return report(findings.map { it.detail }, EXIT_WRONG_INPUT) }, { checkObjects(it, file) })
+        val checked = read.fold({ findings -> return report(findings.map { it.detail }, EXIT_INVALID_INPUT) }, { checkObjects(it, file) })
         return checked.getOrElse { findings -> report(findings.map { it.detail }, EXIT_FINDINGS) }
     }
 
@@ -92,8 +92,8 @@
 
 internal class CheckCommand(
     console: Console,
-) : ObjectCommand(console, "check", "Check a file of objects as a whole") {
-    private val file by argument(ArgType.String, description = "file of objects")
+) : ObjectCommand(console, "check", "Check an object file, including references between objects") {
+    private val file by argument(ArgType.String, description = "object file")
 
     override fun run() {
         val objects = readOrReport(file) ?: return
@@ -103,10 +103,10 @@
 
 internal class SealCommand(
     console: Console,
-) : ObjectCommand(console, "seal", "Check a file of objects and write the sealed documents to publish") {
-    private val file by argument(ArgType.String, description = "file of objects")
-    private val revision by option(ArgType.Int, "revision", description = "revision number, above the one before").required()
-    private val before by option(ArgType.String, "before", description = "folder with the sealed documents published last")
+) : ObjectCommand(console, "seal", "Check an object file and write the sealed documents to publish") {
+    private val file by argument(ArgType.String, description = "object file")
+    private val revision by option(ArgType.Int, "revision", description = "revision number, greater than the previous one").required()
+    private val before by option(ArgType.String, "before", description = "folder with the previously published sealed documents")
     private val out by option(ArgType.String, "out", description = "folder to write to").required()
 
     override fun run() {
@@ -131,9 +131,9 @@
 
 internal class DiffCommand(
     console: Console,
-) : ObjectCommand(console, "diff", "Show what changes from one file of objects to another") {
-    private val from by argument(ArgType.String, description = "file of objects before")
-    private val to by argument(ArgType.String, description = "file of objects after")
+) : ObjectCommand(console, "diff", "Show the differences between two object files") {
+    private val from by argument(ArgType.String, description = "old object file")
+    private val to by argument(ArgType.String, description = "new object file")
 
     override fun run() {
         val before = readOrReport(from) ?: return
@@ -163,15 +163,15 @@
 
 internal class ExplainCommand(
     console: Console,
-) : ObjectCommand(console, "explain", "Show where requests of a route go") {
+) : ObjectCommand(console, "explain", "Show the fleet and targets that serve a route") {
     private val route by argument(ArgType.String, description = "name of the route")
-    private val file by argument(ArgType.String, description = "file of objects")
+    private val file by argument(ArgType.String, description = "object file")
 
     override fun run() {
         val objects = readOrReport(file) ?: return
         val found =
             objects.routes[RouteId(route)]
-                ?: return console.fail("file $file: expected a section [route $route], found none", EXIT_WRONG_INPUT)
+                ?: return console.fail("file $file: expected a section [route $route], found none", EXIT_INVALID_INPUT)
         val fleet = objects.fleets.getValue(found.fleet)
         val repeats = if (found.idempotent) "may be repeated" else "at most once, by the caller's Idempotency-Key"
         console.print(
@@ -195,7 +195,7 @@
 ) : ObjectCommand(console, name, description) {
     private val kind by argument(ArgType.String, description = "domain or target")
     private val id by argument(ArgType.String, description = "name of the failure domain or target")
-    private val file by argument(ArgType.String, description = "file of objects, which is rewritten")
+    private val file by argument(ArgType.String, description = "object file, which is overwritten")
 
     override fun run() {
         val objects = readOrReport(file) ?: return
@@ -204,7 +204,7 @@
             when (val value = wanted?.let { objects.byKey[ObjectKey(it, id)] }) {
                 is OperatorObject.Domain -> value.copy(service = service)
                 is OperatorObject.Target -> value.copy(service = service)
-                else -> return console.fail("file $file: expected a section [domain $id] or [target $id], found none", EXIT_WRONG_INPUT)
+                else -> return console.fail("file $file: expected a section [domain $id] or [target $id], found none", EXIT_INVALID_INPUT)
             }
         val next = objects.byKey.values.map { if (it.key == changed.key) changed else it }
         File(file).writeText(writeObjects(next))
@@ -214,13 +214,13 @@
 
 internal class ManifestCommand(
     console: Console,
-) : ObjectCommand(console, "manifest", "Write the manifest of a file of weights and print its digest") {
-    private val weights by argument(ArgType.String, description = "file of weights")
-    private val chunkBytes by option(ArgType.Int, "chunk-bytes", description = "bytes of a chunk").required()
+) : ObjectCommand(console, "manifest", "Write the manifest of a weight file and print its digest") {
+    private val weights by argument(ArgType.String, description = "weight file")
+    private val chunkBytes by option(ArgType.Int, "chunk-bytes", description = "chunk size in bytes").required()
     private val out by option(ArgType.String, "out", description = "file to write the manifest to").required()
 
     override fun run() {
-        if (chunkBytes <= 0) return console.fail("option chunk-bytes: expected a number above 0", EXIT_WRONG_INPUT)
+        if (chunkBytes <= 0) return console.fail("option chunk-bytes: expected a number above 0, found $chunkBytes", EXIT_INVALID_INPUT)
         val digests = mutableListOf<String>()
         File(weights).inputStream().use { input ->
             while (true) {
--- a/cli/src/main/kotlin/lagoonrudder/cli/RequestTrace.kt
+++ b/cli/src/main/kotlin/lagoonrudder/cli/RequestTrace.kt
@@ -1,15 +1,15 @@
 /**
- * A request's story: the lines that name it, each after what its process believed when it decided.
+ * Traces a request: the log lines that mention it, each preceded by the state that its process knew at that time.
  *
- * A belief is the last line of a kind that the same process wrote before: the configuration, the declared version, evacuated
- * failure domains, the store, a pause, and for each back end that the request was sent to how it was listed and what its
- * target daemon said.
+ * The known state is the latest earlier line of each kind from the same process: the configuration, the declared version,
+ * evacuated failure domains, the store, a pause, and, for each back end that the request was sent to, its registration and the
+ * last state received from its target daemon.
  */
 package lagoonrudder.cli
 
 import java.time.Duration
 
-/** The story of [request] over [lines] of any number of processes; empty when no line names it. */
+/** Returns the trace of [request] in [lines] of any number of processes, or an empty list if no line mentions it. */
 internal fun traceRequest(
     request: String,
     lines: List<LogLine>,
@@ -17,20 +17,20 @@
     val ordered = lines.sortedBy { it.at }
     return ordered.filter { it["request"] == request }.flatMap { line ->
         val before = ordered.filter { it.process == line.process && it.at <= line.at && it !== line }
-        beliefs(line, before).sortedBy { it.at }.map { believed(it, line) } + line.text
+        knownState(line, before).sortedBy { it.at }.map { describeKnown(it, line) } + line.text
     }
 }
 
-private fun beliefs(
+private fun knownState(
     line: LogLine,
     before: List<LogLine>,
 ): List<LogLine> {
-    val general = BELIEFS.mapNotNull { events -> before.lastOrNull { it.event in events } }
-    val targets = TARGET.findAll(line["attempts"].orEmpty()).map { it.groupValues[1] }.distinct()
-    return general + targets.flatMap { backEndBeliefs(it, before) }
+    val general = STATE_EVENTS.mapNotNull { events -> before.lastOrNull { it.event in events } }
+    val targets = ATTEMPT_TARGET.findAll(line["attempts"].orEmpty()).map { it.groupValues[1] }.distinct()
+    return general + targets.flatMap { knownBackEndState(it, before) }
 }
 
-private fun backEndBeliefs(
+private fun knownBackEndState(
     target: String,
     before: List<LogLine>,
 ): List<LogLine> {
@@ -40,13 +40,13 @@
     return listOfNotNull(listed, gone, heard)
 }
 
-private fun believed(
-    belief: LogLine,
+private fun describeKnown(
+    known: LogLine,
     line: LogLine,
-): String = "  believed for ${Duration.between(belief.at, line.at).toMillis()} ms: ${belief.text}"
+): String = "  known for ${Duration.between(known.at, line.at).toMillis()} ms: ${known.text}"
 
-/** Events of which the last one before a decision tells what was believed. */
-private val BELIEFS =
+/** Kinds of events whose latest occurrence gives the known state. */
+private val STATE_EVENTS =
     listOf(
         setOf("configuration-in-force"),
         setOf("version-declared"),
@@ -56,5 +56,5 @@
         setOf("leaving"),
     )
 
-/** The attempts of a request are listed as "target:result", with commas between them. */
-private val TARGET = Regex("""(?:^|,)([^:,]+):""")
+/** Matches the target in the comma-separated list of attempts, each written as "target:result". */
+private val ATTEMPT_TARGET = Regex("""(?:^|,)([^:,]+):""")
--- a/cli/src/main/kotlin/lagoonrudder/cli/TraceCommand.kt
+++ b/cli/src/main/kotlin/lagoonrudder/cli/TraceCommand.kt
@@ -1,5 +1,5 @@
 /**
- * The command that explains a request from the logs of the daemons.
+ * The command that traces a request through the logs of daemons.
  */
 @file:OptIn(ExperimentalCli::class)
 
@@ -12,14 +12,14 @@
 
 internal class TraceCommand(
     console: Console,
-) : ObjectCommand(console, "trace", "Print a request's story from logs of daemons, with what each daemon believed") {
-    private val request by argument(ArgType.String, description = "The request's id")
-    private val files by argument(ArgType.String, description = "Files of log lines").vararg()
+) : ObjectCommand(console, "trace", "Trace a request through daemon logs, with the state known to each daemon") {
+    private val request by argument(ArgType.String, description = "request ID")
+    private val files by argument(ArgType.String, description = "log files").vararg()
 
     override fun run() {
         val lines = files.flatMap { file -> File(file).useLines { lines -> lines.mapNotNull { readLogLine(it) }.toList() } }
-        val story = traceRequest(request, lines)
-        story.forEach { console.print(it) }
-        if (story.isEmpty()) console.fail("no line of ${files.size} files names request $request", EXIT_FINDINGS)
+        val trace = traceRequest(request, lines)
+        trace.forEach { console.print(it) }
+        if (trace.isEmpty()) console.fail("no log line in ${files.size} files mentions request $request", EXIT_FINDINGS)
     }
 }
--- a/cli/src/test/kotlin/lagoonrudder/cli/ObjectCommandsTest.kt
+++ b/cli/src/test/kotlin/lagoonrudder/cli/ObjectCommandsTest.kt
@@ -24,7 +24,7 @@
     }
 
 private class Run(
-    vararg words: String,
+    vararg arguments: String,
 ) {
     val lines = mutableListOf<String>()
     val errors = mutableListOf<String>()
@@ -34,7 +34,7 @@
     init {
         val parser = ArgParser("lagoonrudder")
         parser.subcommands(*objectCommands(console).toTypedArray())
-        parser.parse(arrayOf(*words))
+        parser.parse(arrayOf(*arguments))
         code = console.exitCode
     }
 }
@@ -48,7 +48,7 @@
             text: String = writeObjects(objects.byKey.values),
         ): String = File(folder, name).apply { writeText(text) }.path
 
-        test("a good file passes, one with findings exits with 1, one that can't be read with 2") {
+        test("check exits with 0 for a valid file, 1 for a file with findings and 2 for an unreadable file") {
             Run("check", file("good.ini")).code shouldBe 0
             val dangling = Run("check", file("dangling.ini", "[domain ost]\nregion = nowhere\nservice = in\n"))
             dangling.code shouldBe 1
@@ -57,7 +57,7 @@
             Run("check", "$folder/missing.ini").code shouldBe 2
         }
 
-        test("sealing writes the parts and the head, and a revision that does not rise exits with 1") {
+        test("seal writes the parts and the head, and exits with 1 if the revision does not increase") {
             val good = file("seal.ini")
             Run("seal", good, "--revision", "4", "--out", "$folder/sealed").code shouldBe 0
             File(folder, "sealed").list().orEmpty().count { it.startsWith("part-") } shouldBe 1
@@ -65,7 +65,7 @@
             Run("seal", good, "--revision", "5", "--before", "$folder/sealed", "--out", "$folder/again").code shouldBe 0
         }
 
-        test("taking a failure domain out edits the file, and the difference shows it") {
+        test("out edits the file to take a failure domain out of service, and diff shows the change") {
             val before = file("before.ini")
             val after = file("after.ini")
             Run("out", "domain", "ost", after).code shouldBe 0
@@ -75,7 +75,7 @@
             Run("out", "domain", "sued", after).code shouldBe 2
         }
 
-        test("a route is explained down to its targets") {
+        test("explain lists a route with its targets") {
             val lines = Run("explain", "fees", file("explain.ini")).lines
             lines.last() shouldBe "target=ledger-1 domain=ost service=in requests=16"
             Run("explain", "nothing", file("explain.ini")).code shouldBe 2
--- a/cli/src/test/kotlin/lagoonrudder/cli/RequestTraceTest.kt
+++ b/cli/src/test/kotlin/lagoonrudder/cli/RequestTraceTest.kt
@@ -15,7 +15,7 @@
 
 class RequestTraceTest :
     FunSpec({
-        test("a line is read with quoted values, whatever stands before its time") {
+        test("a line with quoted values and a prefix before its timestamp is parsed") {
             val line = readLogLine("  3.2 node $DAY:06.643 level=INFO event=paused process=a for=\"2 s\" at=4").shouldNotBeNull()
             line.event shouldBe "paused"
             line["for"] shouldBe "2 s"
@@ -23,14 +23,14 @@
             line.text shouldStartWith DAY
         }
 
-        test("a line that is no event is passed over") {
+        test("a line that is not an event is ignored") {
             readLogLine("Exception in thread").shouldBeNull()
             readLogLine("$DAY:06.643 something else").shouldBeNull()
             readLogLine("2026-99-31T19:06:06.643 event=started").shouldBeNull()
         }
 
-        test("a request's line comes after what its own process believed last, in order") {
-            val story =
+        test("a request's line follows the state last known to its own process, in order of time") {
+            val trace =
                 traceRequest(
                     "r1",
                     lines(
@@ -43,15 +43,15 @@
                         "$DAY:06.000 level=INFO event=configuration-in-force process=a revision=4",
                     ),
                 )
-            story shouldHaveSize 4
-            story[0] shouldContain "believed for 3000 ms"
-            story[0] shouldContain "target=t1"
-            story[1] shouldContain "revision=2"
-            story[2] shouldContain "closed=true"
-            story[3] shouldContain "request=r1"
+            trace shouldHaveSize 4
+            trace[0] shouldContain "known for 3000 ms"
+            trace[0] shouldContain "target=t1"
+            trace[1] shouldContain "revision=2"
+            trace[2] shouldContain "closed=true"
+            trace[3] shouldContain "request=r1"
         }
 
-        test("a request that no line names has no story") {
+        test("a request that no line mentions has an empty trace") {
             traceRequest("r2", lines("$DAY:05.000 level=INFO event=request-ended process=a request=r1 attempts=")).shouldBeEmpty()
         }
     })
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationLoop.kt
@@ -28,9 +28,9 @@
 import lagoonrudder.model.SealedChanges
 import lagoonrudder.model.SealedSet
 import lagoonrudder.wire.documents.SealedHead
+import lagoonrudder.wire.documents.readFullSet
 import lagoonrudder.wire.documents.readHead
 import lagoonrudder.wire.documents.readParts
-import lagoonrudder.wire.documents.readFullSet
 import lagoonrudder.wire.documents.writeChanges
 import lagoonrudder.wire.documents.writeFullSet
 import lagoonrudder.wire.messages.ExchangeMessage
@@ -138,7 +138,13 @@
         changes: SealedChanges?,
     ): OfferMessage {
         val sender = core.settings.name.text
-        return if (changes == null) OfferMessage(sender, true, writeFullSet(current)) else OfferMessage(sender, false, writeChanges(changes))
+        return if (changes ==
+            null
+        ) {
+            OfferMessage(sender, true, writeFullSet(current))
+        } else {
+            OfferMessage(sender, false, writeChanges(changes))
+        }
     }
 
     /** Runs [watch] over and over while this daemon is a watcher, with pauses that grow while it fails. */
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerLoop.kt
@@ -19,11 +19,11 @@
 import lagoonrudder.wire.messages.GossipMessage
 import lagoonrudder.wire.messages.GossipReply
 import lagoonrudder.wire.messages.toItem
+import lagoonrudder.wire.messages.toLivePeer
 import lagoonrudder.wire.messages.toLoads
 import lagoonrudder.wire.messages.toMessage
 import lagoonrudder.wire.messages.toMessages
 import lagoonrudder.wire.messages.toPeer
-import lagoonrudder.wire.messages.toSighting
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
@@ -124,7 +124,14 @@
     private fun word(peersRequested: Boolean): GossipMessage {
         val lags = behindSince?.let { core.clock.elapsed() - it > LAG_ALLOWED } ?: false
         val itemsRequested = lags || !core.publication.confirmed || core.self.role == DaemonRole.TARGET
-        return GossipMessage(core.self.toMessage(), core.publication.at, itemsRequested, loads().toMessages(), slot?.toMessage(), peersRequested)
+        return GossipMessage(
+            core.self.toMessage(),
+            core.publication.at,
+            itemsRequested,
+            loads().toMessages(),
+            slot?.toMessage(),
+            peersRequested,
+        )
     }
 
     private suspend fun take(
@@ -136,7 +143,7 @@
             core.thread.decide {
                 val now = core.clock.elapsed()
                 core.peers.heard(reply.self.toPeer(), reply.loads.toLoads(), now)
-                core.peers.sighted(reply.sightings.map { it.toSighting() }, now)
+                core.peers.sighted(reply.sightings.map { it.toLivePeer() }, now)
                 val behind = reply.at > core.publication.at
                 if (!behind) {
                     behindSince = null
--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/IniSection.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/IniSection.kt
@@ -1,5 +1,5 @@
 /**
- * INI text as sections of keys and values, with errors that name file, section and key.
+ * Reads INI text as sections of keys and values, with errors that name the file, the section and the key.
  */
 package lagoonrudder.wire.documents
 
@@ -21,23 +21,23 @@
 import java.io.StringReader
 import kotlin.time.Duration
 
-/** One section of a file. Reading a key that is missing or has a wrong value raises a [Failure.Malformed]. */
+/** One section of an INI file. Reading a key that is missing or has an invalid value raises a [Failure.Malformed]. */
 class IniSection internal constructor(
     val file: String,
     val name: String,
     private val values: Map<String, String>,
     private val step: Step,
 ) {
-    private val read = mutableSetOf<String>()
+    private val readKeys = mutableSetOf<String>()
 
     fun Raise<Failure.Malformed>.text(key: String): String = optionalText(key) ?: raise(malformed(key, "expected a value, found none"))
 
     fun optionalText(key: String): String? {
-        read += key
+        readKeys += key
         return values[key]?.takeIf { it.isNotBlank() }
     }
 
-    /** All keys with their values. */
+    /** All keys with their trimmed values. */
     fun pairs(): List<Pair<String, String>> = values.map { it.key to it.value.trim() }
 
     fun Raise<Failure.Malformed>.long(key: String): Long = number(key, text(key))
@@ -49,7 +49,7 @@
 
     fun Raise<Failure.Malformed>.int(key: String): Int {
         val number = long(key)
-        if (number !in Int.MIN_VALUE..Int.MAX_VALUE) raise(malformed(key, "expected a number of 32 bits, found $number"))
+        if (number !in Int.MIN_VALUE..Int.MAX_VALUE) raise(malformed(key, "expected a 32-bit integer, found $number"))
         return number.toInt()
     }
 
@@ -67,7 +67,7 @@
 
     fun Raise<Failure.Malformed>.duration(key: String): Duration {
         val text = text(key)
-        return Duration.parseOrNull(text) ?: raise(malformed(key, "expected a time such as 8s or 250ms, found \"$text\""))
+        return Duration.parseOrNull(text) ?: raise(malformed(key, "expected a duration such as 8s or 250ms, found \"$text\""))
     }
 
     fun Raise<Failure.Malformed>.address(key: String): Address = address(key, text(key))
@@ -89,10 +89,10 @@
         return choices.firstOrNull { it.name.lowercase() == text } ?: raise(malformed(key, "expected one of $names, found \"$text\""))
     }
 
-    /** Raises when the section holds a key that was not read. */
+    /** Raises a [Failure.Malformed] if the section contains a key that was not read. */
     fun Raise<Failure.Malformed>.rejectUnknownKeys() {
-        val unknown = values.keys.firstOrNull { it !in read } ?: return
-        raise(malformed(unknown, "expected one of ${read.sorted().joinToString(", ")}"))
+        val unknown = values.keys.firstOrNull { it !in readKeys } ?: return
+        raise(malformed(unknown, "expected one of ${readKeys.sorted().joinToString(", ")}"))
     }
 
     fun malformed(
@@ -103,7 +103,7 @@
     private fun Raise<Failure.Malformed>.number(
         key: String,
         text: String,
-    ): Long = text.toLongOrNull() ?: raise(malformed(key, "expected a whole number, found \"$text\""))
+    ): Long = text.toLongOrNull() ?: raise(malformed(key, "expected an integer, found \"$text\""))
 
     private fun Raise<Failure.Malformed>.address(
         key: String,
@@ -111,7 +111,7 @@
     ): Address = addressOrNull(text) ?: raise(malformed(key, "expected an IP number and a port such as 127.0.0.1:7001, found \"$text\""))
 }
 
-/** Splits [text] into sections; repeated sections and repeated keys are errors. */
+/** Splits [text] into sections. Repeated sections and repeated keys are errors. */
 fun readIni(
     text: String,
     file: String,
@@ -122,7 +122,7 @@
         ini.keys.map { name ->
             val sections = ini.getAll(name)
             val section = IniSection(file, name, sections.first().keys.associateWith { sections.first()[it].orEmpty() }, step)
-            if (sections.size > 1) raise(section.malformed("", "expected a section of its own name, it stands ${sections.size} times"))
+            if (sections.size > 1) raise(section.malformed("", "expected a unique section name, found ${sections.size} sections"))
             val repeated = sections.first().keys.firstOrNull { sections.first().length(it) > 1 }
             if (repeated != null) raise(section.malformed(repeated, "expected one value, found several"))
             section
--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/InstanceText.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/InstanceText.kt
@@ -1,5 +1,5 @@
 /**
- * The platform's list of instances as INI text: one section for each instance.
+ * Reads and writes the platform's list of instances as INI text: one section for each instance.
  */
 package lagoonrudder.wire.documents
 
@@ -18,7 +18,7 @@
 
 private const val PREFIX = "instance "
 
-/** Reads a whole list. */
+/** Reads the full list of instances. Errors name [peer]. */
 fun readInstances(
     text: String,
     peer: Peer,
@@ -39,7 +39,7 @@
         }
     }
 
-/** The text that [readInstances] reads back. */
+/** Returns the text of [instances], which [readInstances] reads back. */
 fun writeInstances(instances: Collection<Instance>): String =
     instances.joinToString("\n") { instance ->
         val state = if (instance.leaving) InstanceState.LEAVING else InstanceState.LIVE
--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/ObjectText.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/ObjectText.kt
@@ -1,5 +1,5 @@
 /**
- * Operators' objects as INI text: one section for each object, its header the kind and the name.
+ * Reads and writes operators' objects as INI text: one section for each object, with the object's kind and name as its header.
  */
 package lagoonrudder.wire.documents
 
@@ -27,9 +27,9 @@
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.canonicalText
 
-private val namePattern = Regex("[a-z0-9][a-z0-9._-]{0,62}")
+private val NAME_PATTERN = Regex("[a-z0-9][a-z0-9._-]{0,62}")
 
-/** Reads a whole file of objects and collects every error in it. The result is not checked as a set. */
+/** Reads a file of objects and reports all errors in it. References between objects are not checked. */
 fun readObjects(
     text: String,
     file: String,
@@ -39,7 +39,7 @@
         is Either.Right -> readSections(sections.value).let { it.map(::ObjectSet) }
     }
 
-/** The canonical text of [objects], which [readObjects] reads back. */
+/** Returns the canonical text of [objects], which [readObjects] reads back. */
 fun writeObjects(objects: Iterable<OperatorObject>): String = objects.joinToString("\n", transform = ::canonicalText)
 
 internal fun readSections(sections: List<IniSection>): Either<List<Failure.Malformed>, List<OperatorObject>> {
@@ -48,10 +48,10 @@
     return if (failures.isEmpty()) results.mapNotNull { it.getOrNull() }.right() else failures.left()
 }
 
-/** Reads "kind name"; null when the kind is unknown or the name is not well formed. */
+/** Parses "kind name". Returns null if the kind is unknown or the name is not well formed. */
 internal fun objectKeyOrNull(text: String): ObjectKey? {
     val words = text.trim().split(Regex("\\s+"))
-    if (words.size != 2 || !words[1].matches(namePattern)) return null
+    if (words.size != 2 || !words[1].matches(NAME_PATTERN)) return null
     val kind = ObjectKind.entries.firstOrNull { it.text == words[0] } ?: return null
     return ObjectKey(kind, words[1])
 }
--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/SealedDocument.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/SealedDocument.kt
@@ -1,9 +1,9 @@
 /**
- * Sealed sets as they are published and passed on.
+ * Encodes configuration snapshots as the sealed documents that are published and forwarded to peers.
  *
- * The head names the revision, the digest of the whole set and the parts that hold it, and carries the changes from the
- * revision before. Parts are named by the digest of their bytes, so that a reader can't mix the parts of two revisions.
- * A daemon at the revision before needs the head only.
+ * The head contains the revision, the digest of the full set, the list of its parts and the changes since the previous
+ * revision. Parts are named by the digest of their bytes, so that a reader can't mix parts of two revisions. A daemon at the
+ * previous revision needs only the head.
  */
 package lagoonrudder.wire.documents
 
@@ -29,19 +29,19 @@
 import lagoonrudder.model.changesBetween
 import lagoonrudder.model.digestOf
 
-/** The key of the head at the configuration service. */
+/** Key of the head in the configuration service. */
 const val HEAD_KEY = "head"
 
-/** The key of a part at the configuration service. */
+/** Key of a part in the configuration service. */
 fun partKey(digest: Digest): String = "part-${digest.hexadecimal}"
 
-/** A part of a sealed set: canonical text under a megabyte. */
+/** A part of a sealed document: canonical text of less than a megabyte. */
 data class SealedPart(
     val digest: Digest,
     val text: String,
 )
 
-/** What a head says. [changes] is null when the revision before is unknown or the changes are too many. */
+/** Parsed head. [changes] is null if the previous revision is unknown or the changes are too large. */
 data class SealedHead(
     val revision: Revision,
     val digest: Digest,
@@ -49,13 +49,13 @@
     val changes: SealedChanges?,
 )
 
-/** What the tool publishes: write the parts first, the head last. */
+/** The texts to publish: write all parts before the head. */
 data class SealedDocument(
     val head: String,
     val parts: List<SealedPart>,
 )
 
-/** Seals [set] as the successor of [before]. Fails when the revision doesn't rise or an object exceeds a part. */
+/** Seals [set] as the successor of [before]. Fails if the revision doesn't increase or an object doesn't fit into one part. */
 fun seal(
     set: SealedSet,
     before: SealedSet,
@@ -70,15 +70,15 @@
         SealedDocument(writeHead(set, parts.map { it.digest }, before), parts)
     }
 
-/** The text that carries [changes] alone, for peers. */
+/** Returns the text that sends only [changes] to a peer. */
 fun writeChanges(changes: SealedChanges): String =
     headText(changes.revision, changes.digest, emptyList(), changes) + writeObjects(changes.changes.changed)
 
-/** The text that carries the whole of [set], for peers. */
+/** Returns the text that sends the full [set] to a peer. */
 fun writeFullSet(set: SealedSet): String =
     headText(set.revision, set.digest, listOf(set.digest), null) + writeObjects(set.objects.byKey.values)
 
-/** Reads a head from the platform or changes from a peer; objects in it belong to its changes. */
+/** Reads a head from the platform or changes from a peer. Objects in the text belong to the changes. */
 fun readHead(
     text: String,
     peer: Peer,
@@ -90,22 +90,22 @@
         readSealed(sealed, objects)
     }
 
-/** Puts a whole set together from its parts and verifies each part and the whole. */
+/** Assembles a set from its parts and verifies the digests of each part and of the set. */
 fun readParts(
     head: SealedHead,
     parts: Map<Digest, String>,
     peer: Peer,
 ): Either<Failure, SealedSet> =
     either {
-        val texts = head.parts.map { parts[it] ?: raise(damaged(peer, "part ${it.hexadecimal} is missing")) }
+        val texts = head.parts.map { parts[it] ?: raise(damaged(peer, "missing part ${it.hexadecimal}")) }
         for ((digest, text) in head.parts.zip(texts)) {
-            ensure(digestOf(text.encodeToByteArray()) == digest) { damaged(peer, "part ${digest.hexadecimal} doesn't match its digest") }
+            ensure(digestOf(text.encodeToByteArray()) == digest) { damaged(peer, "part digest mismatch: expected ${digest.hexadecimal}") }
         }
         val objects = readObjects(texts.joinToString("\n"), peer.toString()).mapLeft { it.first() }.bind()
-        verified(SealedSet(head.revision, objects), head.digest, peer).bind()
+        verifyDigest(SealedSet(head.revision, objects), head.digest, peer).bind()
     }
 
-/** Reads a whole set that a peer sent as one text. */
+/** Reads a full set that a peer sent as one text. */
 fun readFullSet(
     text: String,
     peer: Peer,
@@ -115,20 +115,20 @@
         val sealed = sections.firstOrNull { it.name == SEALED } ?: raise(damaged(peer, "no section [$SEALED]"))
         val objects = readSections(sections - sealed).mapLeft { it.first() }.bind()
         val head = readSealed(sealed, emptyList())
-        verified(SealedSet(head.revision, ObjectSet(objects)), head.digest, peer).bind()
+        verifyDigest(SealedSet(head.revision, ObjectSet(objects)), head.digest, peer).bind()
     }
 
 private const val SEALED = "sealed"
 
-/** Room that a part leaves for the keys of the configuration service. */
-private const val PART_BYTES = MAXIMUM_PART_BYTES - 10_000
-private const val LARGEST_CHANGES = 400_000
+/** Leaves 10,000 bytes of a part for the keys of the configuration service. */
+private const val MAX_PART_TEXT_BYTES = MAXIMUM_PART_BYTES - 10_000
+private const val MAX_CHANGES_BYTES = 400_000
 
-private fun verified(
+private fun verifyDigest(
     set: SealedSet,
     digest: Digest,
     peer: Peer,
-): Either<Failure, SealedSet> = if (set.digest == digest) set.right() else damaged(peer, "the set doesn't match its digest").left()
+): Either<Failure, SealedSet> = if (set.digest == digest) set.right() else damaged(peer, "set digest mismatch").left()
 
 private fun damaged(
     peer: Peer,
@@ -150,9 +150,9 @@
     for (value in objects.byKey.values) {
         val canonical = canonicalText(value) + "\n"
         ensure(
-            canonical.length <= PART_BYTES,
-        ) { section.malformed(value.key.toString(), "expected an object of at most $PART_BYTES bytes") }
-        if (text.length + canonical.length > PART_BYTES) close()
+            canonical.length <= MAX_PART_TEXT_BYTES,
+        ) { section.malformed(value.key.toString(), "expected an object of at most $MAX_PART_TEXT_BYTES bytes") }
+        if (text.length + canonical.length > MAX_PART_TEXT_BYTES) close()
         text.append(canonical)
     }
     close()
@@ -166,7 +166,7 @@
 ): String {
     val changes = SealedChanges(before.revision, before.digest, set.revision, set.digest, changesBetween(before.objects, set.objects))
     val objects = writeObjects(changes.changes.changed)
-    val small = before.revision > Revision.NONE && objects.length <= LARGEST_CHANGES
+    val small = before.revision > Revision.NONE && objects.length <= MAX_CHANGES_BYTES
     val head = headText(set.revision, set.digest, parts, changes.takeIf { small })
     return if (small) head + objects else head
 }
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/Codec.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/Codec.kt
@@ -1,5 +1,5 @@
 /**
- * Messages as protocol buffer bytes.
+ * Encodes messages as protocol buffers and decodes them.
  */
 @file:OptIn(ExperimentalSerializationApi::class)
 
@@ -15,7 +15,7 @@
     message: T,
 ): ByteArray = ProtoBuf.encodeToByteArray(serializer, message)
 
-/** Reads a message; bytes that aren't one raise a [MalformedMessage], whatever the codec makes of them. */
+/** Decodes a message. Throws [MalformedMessage] on invalid bytes, whichever exception the codec raises for them. */
 fun <T> decodeMessage(
     serializer: KSerializer<T>,
     bytes: ByteArray,
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/DirectMessages.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/DirectMessages.kt
@@ -1,5 +1,6 @@
 /**
- * Messages between daemons that share what they read of the platform's store and what they have in flight.
+ * Protocol buffer messages of the gossip between daemons in direct mode: items of the platform's store, live peers and requests
+ * in flight.
  */
 @file:OptIn(ExperimentalSerializationApi::class)
 
@@ -35,18 +36,18 @@
 )
 
 @Serializable
-data class SightingMessage(
+data class LivePeerMessage(
     @ProtoNumber(1) val peer: PeerMessage,
     @ProtoNumber(2) val ageMilliseconds: Long,
 )
 
 @Serializable
-data class LoadMessage(
+data class InFlightMessage(
     @ProtoNumber(1) val target: String,
     @ProtoNumber(2) val inFlight: Int,
 )
 
-/** [model] is empty while the back end holds nothing. */
+/** State of the back end of one target. [model] is empty while the back end holds no weights. */
 @Serializable
 data class SlotMessage(
     @ProtoNumber(1) val backEnd: String,
@@ -65,13 +66,16 @@
     @ProtoNumber(4) val value: ByteArray,
 )
 
-/** What a daemon says of itself; [itemsRequested] asks for the items that changed after [at], [peersRequested] for who is alive. */
+/**
+ * State that a daemon announces to a peer. [at] is the sender's store revision: [itemsRequested] asks for the items that changed
+ * after it, [peersRequested] for the live peers.
+ */
 @Serializable
 data class GossipMessage(
     @ProtoNumber(1) val self: PeerMessage,
     @ProtoNumber(2) val at: Long,
     @ProtoNumber(3) val itemsRequested: Boolean = false,
-    @ProtoNumber(4) val loads: List<LoadMessage> = emptyList(),
+    @ProtoNumber(4) val loads: List<InFlightMessage> = emptyList(),
     @ProtoNumber(5) val slot: SlotMessage? = null,
     @ProtoNumber(6) val peersRequested: Boolean = false,
 )
@@ -80,8 +84,8 @@
 class GossipReply(
     @ProtoNumber(1) val self: PeerMessage,
     @ProtoNumber(2) val at: Long,
-    @ProtoNumber(3) val loads: List<LoadMessage> = emptyList(),
-    @ProtoNumber(4) val sightings: List<SightingMessage> = emptyList(),
+    @ProtoNumber(3) val loads: List<InFlightMessage> = emptyList(),
+    @ProtoNumber(4) val sightings: List<LivePeerMessage> = emptyList(),
     @ProtoNumber(5) val items: List<ItemMessage> = emptyList(),
 )
 
@@ -103,18 +107,18 @@
         address = addressOrNull(address),
     )
 
-fun PeerSighting.toMessage() = SightingMessage(peer.toMessage(), age.inWholeMilliseconds)
+fun PeerSighting.toMessage() = LivePeerMessage(peer.toMessage(), age.inWholeMilliseconds)
 
-fun SightingMessage.toSighting() = PeerSighting(peer.toPeer(), ageMilliseconds.milliseconds)
+fun LivePeerMessage.toLivePeer() = PeerSighting(peer.toPeer(), ageMilliseconds.milliseconds)
 
-fun Map<TargetId, Int>.toMessages() = map { LoadMessage(it.key.text, it.value) }
+fun Map<TargetId, Int>.toMessages() = map { InFlightMessage(it.key.text, it.value) }
 
-fun List<LoadMessage>.toLoads(): Map<TargetId, Int> = associate { TargetId(it.target) to it.inFlight }
+fun List<InFlightMessage>.toLoads(): Map<TargetId, Int> = associate { TargetId(it.target) to it.inFlight }
 
 fun SlotWord.toMessage() =
     SlotMessage(backEnd.toString(), born, held?.model?.text.orEmpty(), held?.number?.number ?: 0, held?.layers ?: 0, closed)
 
-/** Null when the address of the back end is none. */
+/** Returns null if the address of the back end is invalid. */
 fun SlotMessage.toSlotWord(): SlotWord? {
     val held = if (model.isEmpty()) null else HeldWeights(ModelId(model), WeightNumber(number), layers)
     return addressOrNull(backEnd)?.let { SlotWord(it, born, held, closed) }
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/Mapping.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/Mapping.kt
@@ -1,7 +1,7 @@
 /**
- * Between messages and the types that the rest of the code works with.
+ * Converts between messages and domain types.
  *
- * A message that breaks its contract raises a [MalformedMessage], which the callers turn into a failure with the peer.
+ * A message that violates its contract raises a [MalformedMessage], which callers turn into a failure that names the peer.
  */
 package lagoonrudder.wire.messages
 
@@ -69,9 +69,9 @@
         fleet = FleetId(fleet),
         revision = Revision(revision),
         versions = versions.map(::VersionId),
-        offset = offset.takeIf { it >= 0 } ?: malformed("offset $offset"),
+        offset = offset.takeIf { it >= 0 } ?: malformed("field offset: expected 0 or more, got $offset"),
         timeLeft = timeLeftMilliseconds.milliseconds,
-        tokens = tokens.takeIf { it > 0 } ?: malformed("tokens $tokens"),
+        tokens = tokens.takeIf { it > 0 } ?: malformed("field tokens: expected more than 0, got $tokens"),
         priority = priority,
         permit = permit?.let { RunPermit(RepeatKey(it.key), it.number) },
         work = workOf(this),
@@ -83,7 +83,7 @@
     return when {
         generate != null && plain == null -> Work.Generate(generate.prompt, generate.maximumTokens)
         plain != null && generate == null -> Work.Plain(plain.method, plain.path, plain.contentType, plain.body)
-        else -> malformed("expected one kind of work")
+        else -> malformed("expected exactly one of the fields generate and plain")
     }
 }
 
@@ -96,16 +96,16 @@
     }
 
 fun EventMessage.toEvent(): RunEvent {
-    notRun?.let { return RunEvent.NotRun(it.toRefusal(), it.room?.toRoom()) }
+    notRun?.let { return RunEvent.NotRun(it.toRefusal(), it.room?.toTargetLoad()) }
     head?.let { return RunEvent.Head(RequestId(it.request), it.attempt, versionOrNull(it.version), it.status, it.contentType) }
     bytes?.let { return RunEvent.Bytes(it.offset, it.data, it.checksum) }
-    end?.let { return RunEvent.End(it.length, it.checksum, it.room?.toRoom()) }
-    malformed("an event without content")
+    end?.let { return RunEvent.End(it.length, it.checksum, it.room?.toTargetLoad()) }
+    malformed("event message has no field set")
 }
 
-fun Room.toMessage() = RoomMessage(limit, inFlight, freeTokens)
+fun Room.toMessage() = TargetLoadMessage(limit, inFlight, freeTokens)
 
-fun RoomMessage.toRoom() = Room(limit, inFlight, freeTokens)
+fun TargetLoadMessage.toTargetLoad() = Room(limit, inFlight, freeTokens)
 
 fun Refusal.toMessage(room: Room? = null): RefusalMessage {
     val detail =
@@ -129,7 +129,7 @@
         "not-serving" -> Refusal.NotServing(retry, detail)
         "no-target" -> Refusal.NoTarget(retry)
         "wrong-version" -> Refusal.WrongVersion(retry)
-        else -> malformed("refusal code $code")
+        else -> malformed("unknown refusal code $code")
     }
 }
 
@@ -142,22 +142,22 @@
         is RepeatDecision.Permitted -> ReserveReply(permit = permit)
         is RepeatDecision.Uncertain -> ReserveReply(uncertain = detail)
         is RepeatDecision.Refused -> ReserveReply(refused = refusal.toMessage())
-        is RepeatDecision.RanBefore -> ReserveReply(ranBefore = recorded(answer))
+        is RepeatDecision.RanBefore -> ReserveReply(alreadyRan = recorded(answer))
         is RepeatDecision.AskOwners -> ReserveReply(uncertain = "earlier owners were not asked")
     }
 
-private fun recorded(answer: RecordedAnswer?): RecordedMessage =
-    if (answer == null) RecordedMessage() else RecordedMessage(true, answer.status, answer.contentType, answer.body)
+private fun recorded(answer: RecordedAnswer?): RecordedResponseMessage =
+    if (answer == null) RecordedResponseMessage() else RecordedResponseMessage(true, answer.status, answer.contentType, answer.body)
 
 fun ReserveReply.toDecision(): RepeatDecision {
     permit?.let { return RepeatDecision.Permitted(it) }
     uncertain?.let { return RepeatDecision.Uncertain(it) }
     refused?.let { return RepeatDecision.Refused(it.toRefusal()) }
-    val recorded = ranBefore ?: malformed("a reservation without content")
-    return RepeatDecision.RanBefore(recorded.toAnswer())
+    val recorded = alreadyRan ?: malformed("reserve reply has no field set")
+    return RepeatDecision.RanBefore(recorded.toResponse())
 }
 
-private fun RecordedMessage.toAnswer(): RecordedAnswer? = if (held) RecordedAnswer(status, contentType, body) else null
+private fun RecordedResponseMessage.toResponse(): RecordedAnswer? = if (held) RecordedAnswer(status, contentType, body) else null
 
 fun SurrenderRequest.toMessage() = SurrenderMessage(key.text, revision.number)
 
@@ -165,16 +165,16 @@
 
 fun Surrender.toMessage(): SurrenderReply =
     when (this) {
-        Surrender.Unseen -> SurrenderReply(unseen = true)
-        is Surrender.RanBefore -> SurrenderReply(ranBefore = recorded(answer))
+        Surrender.Unseen -> SurrenderReply(released = true)
+        is Surrender.RanBefore -> SurrenderReply(alreadyRan = recorded(answer))
         is Surrender.Uncertain -> SurrenderReply(uncertain = detail)
     }
 
 fun SurrenderReply.toSurrender(): Surrender {
-    if (unseen) return Surrender.Unseen
+    if (released) return Surrender.Unseen
     uncertain?.let { return Surrender.Uncertain(it) }
-    val recorded = ranBefore ?: malformed("a surrender without content")
-    return Surrender.RanBefore(recorded.toAnswer())
+    val recorded = alreadyRan ?: malformed("surrender reply has no field set")
+    return Surrender.RanBefore(recorded.toResponse())
 }
 
 fun TargetReport.toMessage() =
@@ -190,7 +190,7 @@
     TargetReport(
         TargetId(target),
         IncarnationId(incarnation),
-        room.toRoom(),
+        room.toTargetLoad(),
         versionOrNull(version),
         accepting,
     )
@@ -198,7 +198,7 @@
 fun SwitchReport.toMessage() = SwitchMessage(target.text, version?.text.orEmpty(), status.name)
 
 fun SwitchMessage.toReport(): SwitchReport {
-    val known = SwitchStatus.entries.firstOrNull { it.name == status } ?: malformed("switch status $status")
+    val known = SwitchStatus.entries.firstOrNull { it.name == status } ?: malformed("unknown switch status $status")
     return SwitchReport(TargetId(target), versionOrNull(version), known)
 }
 
@@ -215,10 +215,10 @@
 fun InstanceMessage.toInstance(): Instance =
     Instance(
         daemon = DaemonId(daemon),
-        role = DaemonRole.entries.firstOrNull { it.name.lowercase() == role } ?: malformed("role $role"),
+        role = DaemonRole.entries.firstOrNull { it.name.lowercase() == role } ?: malformed("unknown daemon role $role"),
         domain = DomainId(domain),
         target = target.takeIf { it.isNotEmpty() }?.let(::TargetId),
-        address = addressOrNull(address) ?: malformed("address $address"),
+        address = addressOrNull(address) ?: malformed("invalid address $address"),
         leaving = leaving,
     )
 
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/PeerMessages.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/PeerMessages.kt
@@ -1,5 +1,5 @@
 /**
- * The messages between daemons about configuration, instances and weights, in protocol buffers.
+ * Protocol buffer messages for the exchange of configuration, instances and weights between daemons.
  */
 @file:OptIn(ExperimentalSerializationApi::class)
 
@@ -12,7 +12,7 @@
 @Serializable
 class EmptyMessage
 
-/** What the sender has in force; the other side answers with what is newer. */
+/** States the sender's active configuration; the receiver replies with anything newer. */
 @Serializable
 class ExchangeMessage(
     @ProtoNumber(1) val revision: Long = 0,
@@ -28,7 +28,7 @@
     @ProtoNumber(4) val instances: InstancesMessage? = null,
 )
 
-/** A sealed set as text: the whole of it, or the changes that lead to it. */
+/** A configuration snapshot as text: the full set if [full], otherwise the changes that lead to it. */
 @Serializable
 class OfferMessage(
     @ProtoNumber(1) val sender: String,
@@ -36,7 +36,7 @@
     @ProtoNumber(3) val text: String = "",
 )
 
-/** Whether the receiver lacks the set that the changes start from. */
+/** Reply to an [OfferMessage]. [fullSetRequired] is true if the receiver lacks the set that the changes are based on. */
 @Serializable
 class OfferReply(
     @ProtoNumber(1) val fullSetRequired: Boolean = false,
@@ -66,7 +66,7 @@
     @ProtoNumber(2) val chunk: Int,
 )
 
-/** Whether the sender has a chunk. */
+/** Whether the sender of the reply holds the chunk, expects to hold it later, or won't have it. */
 @Serializable
 enum class ChunkState { HELD, NOT_YET, NOT_HERE }
 
--- a/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcFailure.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcFailure.kt
@@ -1,5 +1,5 @@
 /**
- * Errors of gRPC as failures of the system.
+ * Maps gRPC errors to [Failure].
  */
 package lagoonrudder.wire.rpc
 
@@ -13,8 +13,8 @@
 import kotlin.time.Duration
 
 /**
- * The failure that [error] means. Only an error that arose while the connection was being opened proves that nothing was
- * sent; every other one is taken for an exchange that broke.
+ * Returns the failure that corresponds to [error]. Only an error raised while the connection was being opened proves that
+ * nothing was sent; any other transport error is treated as an interrupted call.
  */
 internal fun failureOf(
     error: Throwable,
--- a/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcServer.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcServer.kt
@@ -1,5 +1,5 @@
 /**
- * The gRPC end of a daemon: the services it offers to other daemons.
+ * The gRPC server of a daemon and the services that it offers to other daemons.
  */
 package lagoonrudder.wire.rpc
 
@@ -32,7 +32,7 @@
 import java.util.concurrent.TimeUnit
 import kotlin.coroutines.CoroutineContext
 
-/** What a target daemon answers to entry daemons and to other targets. */
+/** RPCs that a target daemon serves to entry daemons and to other target daemons. */
 interface TargetService {
     fun run(request: RunRequest): Flow<RunEvent>
 
@@ -45,7 +45,7 @@
     suspend fun switchReport(): SwitchReport
 }
 
-/** What every daemon answers to its peers. */
+/** RPCs that every daemon serves to its peers. */
 interface PeerService {
     suspend fun exchange(message: ExchangeMessage): ExchangeReply
 
@@ -54,19 +54,22 @@
     suspend fun chunk(message: ChunkMessage): ChunkReply
 }
 
-/** Bytes that one answer may have under way on a connection; small, so that slow readers hold little. */
+/**
+ * Flow control window of a request connection: how many bytes of one response may be in transit. It is small so that a slow
+ * reader ties up little memory.
+ */
 internal const val REQUEST_WINDOW_BYTES = 16_384
 internal const val MAX_MESSAGE_BYTES = 16_000_000
 internal const val KEEPALIVE_SECONDS = 2L
 
-/** A started gRPC server; [port] is the one it got when [address] asked for any. */
+/** A running gRPC server. [port] is the bound port, also when the requested port was 0. */
 class RpcServer private constructor(
     private val server: Server,
 ) : AutoCloseable {
     val port: Int get() = server.port
 
-    /** Takes no new calls; those under way go on. */
-    fun leave() {
+    /** Stops accepting calls; calls in progress continue. */
+    fun beginShutdown() {
         server.shutdown()
     }
 
@@ -75,7 +78,7 @@
     }
 
     companion object {
-        /** Starts a server on [address]; [context] runs the services. [target] is null at entry daemons. */
+        /** Starts a server on [address] that runs the services in [context]. [target] is null on entry daemons. */
         fun start(
             address: Address,
             context: CoroutineContext,
--- a/wire/src/test/kotlin/lagoonrudder/wire/MessagesTest.kt
+++ b/wire/src/test/kotlin/lagoonrudder/wire/MessagesTest.kt
@@ -44,16 +44,16 @@
         work = Work.Generate("Describe our perry.", 64),
     )
 
-private fun there(event: RunEvent): RunEvent =
+private fun roundTrip(event: RunEvent): RunEvent =
     decodeMessage(serializer<EventMessage>(), encodeMessage(serializer(), event.toMessage())).toEvent()
 
 class MessagesTest :
     FunSpec({
-        test("a request survives the way there") {
+        test("a request is unchanged after encoding and decoding") {
             decodeMessage(serializer<RunMessage>(), encodeMessage(serializer(), request.toMessage())).toRequest() shouldBe request
         }
 
-        test("every event survives the way there") {
+        test("every event is unchanged after encoding and decoding") {
             val room = Room(8, 3, 500)
             val refusals =
                 listOf(
@@ -71,18 +71,18 @@
                     RunEvent.Head(RequestId("r"), 1, VersionId("v"), 200, "text/plain") +
                     RunEvent.Head(RequestId("r"), 1, null, 404, "") +
                     RunEvent.End(12, 0xFFFFFFFFL, null)
-            events.forEach { there(it) shouldBe it }
-            val bytes = there(RunEvent.Bytes(5, byteArrayOf(1, 2), 9)).shouldBeInstanceOf<RunEvent.Bytes>()
+            events.forEach { roundTrip(it) shouldBe it }
+            val bytes = roundTrip(RunEvent.Bytes(5, byteArrayOf(1, 2), 9)).shouldBeInstanceOf<RunEvent.Bytes>()
             bytes.data shouldBe byteArrayOf(1, 2)
         }
 
-        test("messages that break their contract are refused") {
+        test("messages that violate their contract are rejected") {
             shouldThrow<MalformedMessage> { EventMessage().toEvent() }
             shouldThrow<MalformedMessage> { RunMessage("r", 1, "c", "f", 1, timeLeftMilliseconds = 1, tokens = 1).toRequest() }
             shouldThrow<MalformedMessage> { request.copy(offset = -1).toMessage().toRequest() }
         }
 
-        test("damaged bytes are read or refused as malformed, nothing else") {
+        test("corrupt bytes either decode or raise MalformedMessage, and no other exception") {
             val good = encodeMessage(serializer(), request.toMessage())
             val random = Random(8)
             repeat(2_000) {
--- a/wire/src/test/kotlin/lagoonrudder/wire/ObjectTextTest.kt
+++ b/wire/src/test/kotlin/lagoonrudder/wire/ObjectTextTest.kt
@@ -14,14 +14,14 @@
 import lagoonrudder.model.SealedSet
 import lagoonrudder.model.Service
 import lagoonrudder.model.objectSet
+import lagoonrudder.wire.documents.readFullSet
 import lagoonrudder.wire.documents.readHead
 import lagoonrudder.wire.documents.readObjects
 import lagoonrudder.wire.documents.readParts
-import lagoonrudder.wire.documents.readFullSet
 import lagoonrudder.wire.documents.seal
 import lagoonrudder.wire.documents.writeChanges
-import lagoonrudder.wire.documents.writeObjects
 import lagoonrudder.wire.documents.writeFullSet
+import lagoonrudder.wire.documents.writeObjects
 import kotlin.random.Random
 
 private val peer = Peer(PeerRole.PLATFORM, "test")
@@ -56,7 +56,7 @@
 
 class ObjectTextTest :
     FunSpec({
-        test("what is written is read back") {
+        test("written objects are read back unchanged") {
             readObjects(writeObjects(objects().byKey.values), "objects.ini").getOrNull()?.digest shouldBe objects().digest
         }
 
@@ -73,11 +73,11 @@
             findings("[region ost]\norigin = yes\norigin = no\n").single() shouldContain "key origin"
         }
 
-        test("any text is read or refused, never an exception") {
+        test("any text is either read or rejected, without an exception") {
             checkAll(500, Arb.string(0..200)) { text -> readObjects(text, "objects.ini") }
         }
 
-        test("any single wrong byte in a good file is read or refused, never an exception") {
+        test("a valid file with one wrong byte is either read or rejected, without an exception") {
             val good = writeObjects(objects().byKey.values)
             val random = Random(4)
             repeat(500) {
@@ -86,7 +86,7 @@
             }
         }
 
-        test("a sealed document leads a reader without and with the set before to the same set") {
+        test("a sealed document yields the same set with and without the previous set") {
             val before = SealedSet(Revision(3), objects())
             val after = SealedSet(Revision(4), objects(customers = 5, out = true))
             val document = checkNotNull(seal(after, before, "objects.ini").getOrNull())
@@ -98,12 +98,12 @@
             readFullSet(writeFullSet(after), peer).getOrNull()?.digest shouldBe after.digest
         }
 
-        test("a revision that does not rise is not sealed") {
+        test("a revision that does not increase is not sealed") {
             val set = SealedSet(Revision(3), objects())
             seal(set, set, "objects.ini").leftOrNull()?.detail.orEmpty() shouldContain "above 3"
         }
 
-        test("a part with a wrong byte, a missing part and a whole set with a wrong byte are refused") {
+        test("a corrupt part, a missing part and a corrupt full set are rejected") {
             val set = SealedSet(Revision(1), objects())
             val document = checkNotNull(seal(set, SealedSet.EMPTY, "objects.ini").getOrNull())
             val head = checkNotNull(readHead(document.head, peer).getOrNull())
@@ -113,7 +113,7 @@
             readFullSet(writeFullSet(set).replace("customer-1", "customer-9"), peer).isLeft() shouldBe true
         }
 
-        test("a large set is cut into parts under a megabyte") {
+        test("a large set is split into parts of less than a megabyte") {
             val set = SealedSet(Revision(1), objects(customers = 20_000))
             val parts = checkNotNull(seal(set, SealedSet.EMPTY, "objects.ini").getOrNull()).parts
             (parts.size > 1) shouldBe true
