--- a/cli/src/main/kotlin/lagoonrudder/cli/ObjectCommands.kt
+++ b/cli/src/main/kotlin/lagoonrudder/cli/ObjectCommands.kt
@@ -61,7 +61,7 @@
         } catch (unreadable: UnreadableFile) {
             console.fail(unreadable.line, EXIT_INVALID_INPUT)
         } catch (unreadable: IOException) {
-            console.fail("cannot read or write: ${unreadable.message}", EXIT_INVALID_INPUT)
+            console.fail("I/O error: ${unreadable.message}", EXIT_INVALID_INPUT)
         }
     }
 
@@ -78,7 +78,7 @@
         try {
             File(file).readText()
         } catch (missing: IOException) {
-            throw UnreadableFile("file $file: ${missing.message}")
+            throw UnreadableFile("cannot read file $file: ${missing.message}")
         }
 
     private fun report(
@@ -208,7 +208,7 @@
             }
         val next = objects.byKey.values.map { if (it.key == changed.key) changed else it }
         File(file).writeText(writeObjects(next))
-        console.print("file=$file object=\"${changed.key}\" service=${service.name.lowercase()}; seal and publish it to put it in force")
+        console.print("file=$file object=\"${changed.key}\" service=${service.name.lowercase()}; seal and publish it to activate it")
     }
 }
 
--- a/cli/src/main/kotlin/lagoonrudder/cli/RequestTrace.kt
+++ b/cli/src/main/kotlin/lagoonrudder/cli/RequestTrace.kt
@@ -35,9 +35,9 @@
     before: List<LogLine>,
 ): List<LogLine> {
     val listed = before.lastOrNull { it.event == "back-end-listed" && it["target"] == target }
-    val gone = before.lastOrNull { it.event == "back-end-gone" && it["target"] == target }
-    val heard = before.lastOrNull { it.event == "slot-heard" && listed != null && it["back-end"] == listed["address"] }
-    return listOfNotNull(listed, gone, heard)
+    val unlisted = before.lastOrNull { it.event == "back-end-gone" && it["target"] == target }
+    val reported = before.lastOrNull { it.event == "slot-heard" && listed != null && it["back-end"] == listed["address"] }
+    return listOfNotNull(listed, unlisted, reported)
 }
 
 private fun describeKnown(
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationLoop.kt
@@ -28,11 +28,11 @@
 import lagoonrudder.model.SealedChanges
 import lagoonrudder.model.SealedSet
 import lagoonrudder.wire.documents.SealedHead
-import lagoonrudder.wire.documents.readFullSet
 import lagoonrudder.wire.documents.readHead
 import lagoonrudder.wire.documents.readParts
+import lagoonrudder.wire.documents.readSet
 import lagoonrudder.wire.documents.writeChanges
-import lagoonrudder.wire.documents.writeFullSet
+import lagoonrudder.wire.documents.writeSet
 import lagoonrudder.wire.messages.ExchangeMessage
 import lagoonrudder.wire.messages.ExchangeReply
 import lagoonrudder.wire.messages.OfferMessage
@@ -92,8 +92,8 @@
             return OfferReply()
         }
         val head = readHead(message.text, peer).getOrElse { return reject(it) }
-        val changes = head.changes ?: return OfferReply(fullSetRequired = true)
-        return OfferReply(fullSetRequired = !offerChanges(changes, peer))
+        val changes = head.changes ?: return OfferReply(needsFullSet = true)
+        return OfferReply(needsFullSet = !offerChanges(changes, peer))
     }
 
     /** A peer says what it has and is told what is newer here. */
@@ -138,13 +138,7 @@
         changes: SealedChanges?,
     ): OfferMessage {
         val sender = core.settings.name.text
-        return if (changes ==
-            null
-        ) {
-            OfferMessage(sender, true, writeFullSet(current))
-        } else {
-            OfferMessage(sender, false, writeChanges(changes))
-        }
+        return if (changes == null) OfferMessage(sender, true, writeSet(current)) else OfferMessage(sender, false, writeChanges(changes))
     }
 
     /** Runs [watch] over and over while this daemon is a watcher, with pauses that grow while it fails. */
@@ -229,7 +223,7 @@
         text: String,
         peer: Peer,
     ) {
-        readFullSet(text, peer).fold({ reject(it) }) { offerWhole(it, peer) }
+        readSet(text, peer).fold({ reject(it) }) { offerWhole(it, peer) }
     }
 
     /** Offers changes; false when the whole set is needed. */
@@ -314,8 +308,8 @@
         set: SealedSet,
     ) {
         val reply = core.rpc.offer(child.address, message, OFFER_LIMIT)
-        val fullSetRequired = reply.fold({ unheard(child.daemon, it) }, { it.fullSetRequired })
-        if (fullSetRequired) core.rpc.offer(child.address, OfferMessage(core.settings.name.text, true, writeFullSet(set)), OFFER_LIMIT)
+        val needsFullSet = reply.fold({ unheard(child.daemon, it) }, { it.needsFullSet })
+        if (needsFullSet) core.rpc.offer(child.address, OfferMessage(core.settings.name.text, true, writeSet(set)), OFFER_LIMIT)
     }
 
     private suspend fun unheard(
@@ -390,12 +384,12 @@
         reply.instances?.let { changes -> core.thread.decide { if (core.membership.apply(changes)) changed() } }
         val offer = reply.offer
         if (offer != null) {
-            val fullSetRequired = take(offer).fullSetRequired
-            if (fullSetRequired) core.rpc.exchange(address, ExchangeMessage(), OFFER_LIMIT).onRight { full -> full.offer?.let { take(it) } }
+            val needsFullSet = take(offer).needsFullSet
+            if (needsFullSet) core.rpc.exchange(address, ExchangeMessage(), OFFER_LIMIT).onRight { full -> full.offer?.let { take(it) } }
             return
         }
         val peerBehind = isNewer(own, reply.revision, reply.digest)
-        if (peerBehind) core.rpc.offer(address, OfferMessage(core.settings.name.text, true, writeFullSet(own)), OFFER_LIMIT)
+        if (peerBehind) core.rpc.offer(address, OfferMessage(core.settings.name.text, true, writeSet(own)), OFFER_LIMIT)
     }
 
     private companion object {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ControlMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ControlMeasure.kt
@@ -39,7 +39,7 @@
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.objectSet
 import lagoonrudder.wire.documents.writeChanges
-import lagoonrudder.wire.documents.writeFullSet
+import lagoonrudder.wire.documents.writeSet
 import kotlin.random.Random
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -146,7 +146,7 @@
         add("put-in-force-on-thread", on)
         add("spread-on-thread", tree)
         add("change-bytes", bytes)
-        add("whole-bytes", writeFullSet(controller.current).length)
+        add("whole-bytes", writeSet(controller.current).length)
         add("state-megabytes", (usedMemory() - before) / 1e6)
     }
 }
--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/SealedDocument.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/SealedDocument.kt
@@ -1,5 +1,5 @@
 /**
- * Encodes configuration snapshots as the sealed documents that are published and forwarded to peers.
+ * Encodes snapshots of operators' objects as the sealed documents that are published and forwarded to peers.
  *
  * The head contains the revision, the digest of the full set, the list of its parts and the changes since the previous
  * revision. Parts are named by the digest of their bytes, so that a reader can't mix parts of two revisions. A daemon at the
@@ -75,8 +75,7 @@
     headText(changes.revision, changes.digest, emptyList(), changes) + writeObjects(changes.changes.changed)
 
 /** Returns the text that sends the full [set] to a peer. */
-fun writeFullSet(set: SealedSet): String =
-    headText(set.revision, set.digest, listOf(set.digest), null) + writeObjects(set.objects.byKey.values)
+fun writeSet(set: SealedSet): String = headText(set.revision, set.digest, listOf(set.digest), null) + writeObjects(set.objects.byKey.values)
 
 /** Reads a head from the platform or changes from a peer. Objects in the text belong to the changes. */
 fun readHead(
@@ -106,7 +105,7 @@
     }
 
 /** Reads a full set that a peer sent as one text. */
-fun readFullSet(
+fun readSet(
     text: String,
     peer: Peer,
 ): Either<Failure, SealedSet> =
@@ -166,9 +165,9 @@
 ): String {
     val changes = SealedChanges(before.revision, before.digest, set.revision, set.digest, changesBetween(before.objects, set.objects))
     val objects = writeObjects(changes.changes.changed)
-    val small = before.revision > Revision.NONE && objects.length <= MAX_CHANGES_BYTES
-    val head = headText(set.revision, set.digest, parts, changes.takeIf { small })
-    return if (small) head + objects else head
+    val includeChanges = before.revision > Revision.NONE && objects.length <= MAX_CHANGES_BYTES
+    val head = headText(set.revision, set.digest, parts, changes.takeIf { includeChanges })
+    return if (includeChanges) head + objects else head
 }
 
 private fun headText(
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/Mapping.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/Mapping.kt
@@ -143,7 +143,7 @@
         is RepeatDecision.Uncertain -> ReserveReply(uncertain = detail)
         is RepeatDecision.Refused -> ReserveReply(refused = refusal.toMessage())
         is RepeatDecision.RanBefore -> ReserveReply(alreadyRan = recorded(answer))
-        is RepeatDecision.AskOwners -> ReserveReply(uncertain = "earlier owners were not asked")
+        is RepeatDecision.AskOwners -> ReserveReply(uncertain = "previous owners of the key were not checked")
     }
 
 private fun recorded(answer: RecordedAnswer?): RecordedResponseMessage =
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/PeerMessages.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/PeerMessages.kt
@@ -28,7 +28,7 @@
     @ProtoNumber(4) val instances: InstancesMessage? = null,
 )
 
-/** A configuration snapshot as text: the full set if [full], otherwise the changes that lead to it. */
+/** A snapshot of the operators' objects as text: the full set if [full], otherwise the changes that lead to it. */
 @Serializable
 class OfferMessage(
     @ProtoNumber(1) val sender: String,
@@ -36,10 +36,10 @@
     @ProtoNumber(3) val text: String = "",
 )
 
-/** Reply to an [OfferMessage]. [fullSetRequired] is true if the receiver lacks the set that the changes are based on. */
+/** Reply to an [OfferMessage]. [needsFullSet] is true if the receiver lacks the set that the changes are based on. */
 @Serializable
 class OfferReply(
-    @ProtoNumber(1) val fullSetRequired: Boolean = false,
+    @ProtoNumber(1) val needsFullSet: Boolean = false,
 )
 
 @Serializable
--- a/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcServer.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcServer.kt
@@ -106,7 +106,7 @@
         .builder(TARGET_SERVICE)
         .addMethod(
             ServerCalls.serverStreamingServerMethodDefinition(context, Methods.run) { message ->
-                service.run(checked { message.toRequest() }).map { it.toMessage() }
+                service.run(rejectMalformed { message.toRequest() }).map { it.toMessage() }
             },
         ).addMethod(
             ServerCalls.unaryServerMethodDefinition(context, Methods.reserve) { message ->
@@ -132,7 +132,7 @@
         .addMethod(ServerCalls.unaryServerMethodDefinition(context, Methods.chunk) { service.chunk(it) })
         .build()
 
-private fun <T> checked(read: () -> T): T =
+private fun <T> rejectMalformed(read: () -> T): T =
     try {
         read()
     } catch (malformed: MalformedMessage) {
