--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/InstanceText.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/InstanceText.kt
@@ -1,5 +1,5 @@
 /**
- * The platform's list of instances as INI text: one section for each instance.
+ * Reads and writes the platform's list of instances as INI text: one section for each instance.
  */
 package lagoonrudder.wire.documents
 
@@ -18,7 +18,7 @@
 
 private const val PREFIX = "instance "
 
-/** Reads a whole list. */
+/** Reads the full list of instances. Errors name [peer]. */
 fun readInstances(
     text: String,
     peer: Peer,
@@ -29,17 +29,17 @@
             with(section) {
                 Instance(
                     daemon = DaemonId(section.name.removePrefix(PREFIX)),
-                    role = choice("role", DaemonRole.entries),
+                    role = enumValue("role", DaemonRole.entries),
                     domain = DomainId(text("domain")),
                     target = optionalText("target")?.let(::TargetId),
                     address = address("address"),
-                    leaving = choice("state", InstanceState.entries) == InstanceState.LEAVING,
+                    leaving = enumValue("state", InstanceState.entries) == InstanceState.LEAVING,
                 )
             }
         }
     }
 
-/** The text that [readInstances] reads back. */
+/** Returns the text of [instances], which [readInstances] reads back. */
 fun writeInstances(instances: Collection<Instance>): String =
     instances.joinToString("\n") { instance ->
         val state = if (instance.leaving) InstanceState.LEAVING else InstanceState.LIVE
