--- a/cli/src/main/kotlin/lagoonrudder/cli/ObjectCommands.kt
+++ b/cli/src/main/kotlin/lagoonrudder/cli/ObjectCommands.kt
@@ -10,6 +10,8 @@
 import kotlinx.cli.ExperimentalCli
 import kotlinx.cli.Subcommand
 import kotlinx.cli.required
+import lagoonrudder.model.AdminState
+import lagoonrudder.model.ConfigurationSnapshot
 import lagoonrudder.model.Digest
 import lagoonrudder.model.ObjectKey
 import lagoonrudder.model.ObjectKind
@@ -19,8 +21,6 @@
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Revision
 import lagoonrudder.model.RouteId
-import lagoonrudder.model.SealedSet
-import lagoonrudder.model.Service
 import lagoonrudder.model.changesBetween
 import lagoonrudder.model.checkObjects
 import lagoonrudder.model.digestOf
@@ -40,8 +40,8 @@
         SealCommand(console),
         DiffCommand(console),
         ExplainCommand(console),
-        ServiceCommand(console, "out", "Take a failure domain or a target out of service in a file of objects", Service.OUT),
-        ServiceCommand(console, "in", "Bring a failure domain or a target back into service in a file of objects", Service.IN),
+        ServiceCommand(console, "out", "Take a failure domain or a target out of service in a file of objects", AdminState.OUT),
+        ServiceCommand(console, "in", "Bring a failure domain or a target back into service in a file of objects", AdminState.IN),
         ManifestCommand(console),
     )
 
@@ -111,8 +111,8 @@
 
     override fun run() {
         val objects = readOrReport(file) ?: return
-        val last = before?.let { readSealed(it) } ?: SealedSet.EMPTY
-        val sealed = seal(SealedSet(Revision(revision.toLong()), objects), last, file)
+        val last = before?.let { readSealed(it) } ?: ConfigurationSnapshot.EMPTY
+        val sealed = seal(ConfigurationSnapshot(Revision(revision.toLong()), objects), last, file)
         val document = sealed.getOrElse { return console.fail(it.detail, EXIT_FINDINGS) }
         val folder = File(out).apply { mkdirs() }
         document.parts.forEach { File(folder, partKey(it.digest)).writeText(it.text) }
@@ -121,7 +121,7 @@
         console.print("publish the files part-* first and the file $HEAD_KEY last")
     }
 
-    private fun readSealed(folder: String): SealedSet {
+    private fun readSealed(folder: String): ConfigurationSnapshot {
         val peer = Peer(PeerRole.OPERATOR, folder)
         val head = readHead(textOf("$folder/$HEAD_KEY"), peer).getOrElse { throw UnreadableFile(it.detail) }
         val parts = head.parts.associateWith { digest: Digest -> textOf("$folder/${partKey(digest)}") }
@@ -191,7 +191,7 @@
     console: Console,
     name: String,
     description: String,
-    private val service: Service,
+    private val service: AdminState,
 ) : ObjectCommand(console, name, description) {
     private val kind by argument(ArgType.String, description = "domain or target")
     private val id by argument(ArgType.String, description = "name of the failure domain or target")
--- a/control/src/main/kotlin/lagoonrudder/control/CheckedSet.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/CheckedSet.kt
@@ -10,26 +10,26 @@
 import arrow.core.flatMap
 import arrow.core.left
 import arrow.core.right
+import lagoonrudder.model.ConfigurationDelta
+import lagoonrudder.model.ConfigurationSnapshot
 import lagoonrudder.model.Failure
 import lagoonrudder.model.Peer
-import lagoonrudder.model.SealedChanges
-import lagoonrudder.model.SealedSet
 import lagoonrudder.model.Step
 import lagoonrudder.model.changesBetween
 import lagoonrudder.model.checkObjects
 
 /** [changes] lead from [base] to [set]; [peer] is who offered it. */
 class CheckedSet private constructor(
-    val set: SealedSet,
-    val base: SealedSet,
-    val changes: SealedChanges,
+    val set: ConfigurationSnapshot,
+    val base: ConfigurationSnapshot,
+    val changes: ConfigurationDelta,
     val peer: Peer,
 ) {
     companion object {
         /** Checks a whole set that [peer] offered to a process that has [base] in force. */
         fun ofWhole(
-            offered: SealedSet,
-            base: SealedSet,
+            offered: ConfigurationSnapshot,
+            base: ConfigurationSnapshot,
             peer: Peer,
         ): Either<Failure, CheckedSet> =
             checkObjects(offered.objects, peer.toString())
@@ -38,22 +38,22 @@
 
         /** Applies changes that [peer] offered to [base], verifies the digest they lead to, and checks the result. */
         fun ofChanges(
-            offered: SealedChanges,
-            base: SealedSet,
+            offered: ConfigurationDelta,
+            base: ConfigurationSnapshot,
             peer: Peer,
         ): Either<Failure, CheckedSet> {
-            val next = SealedSet(offered.revision, base.objects.plus(offered.changes))
+            val next = ConfigurationSnapshot(offered.revision, base.objects.plus(offered.changes))
             val verified = if (next.digest == offered.digest) next.right() else damaged(offered, peer).left()
             return verified.flatMap { ofWhole(it, base, peer) }
         }
 
         private fun changesFrom(
-            base: SealedSet,
-            set: SealedSet,
-        ) = SealedChanges(base.revision, base.digest, set.revision, set.digest, changesBetween(base.objects, set.objects))
+            base: ConfigurationSnapshot,
+            set: ConfigurationSnapshot,
+        ) = ConfigurationDelta(base.revision, base.digest, set.revision, set.digest, changesBetween(base.objects, set.objects))
 
         private fun damaged(
-            offered: SealedChanges,
+            offered: ConfigurationDelta,
             peer: Peer,
         ): Failure =
             Failure.Damaged(Step.ACCEPT_CONFIGURATION, peer, "changes to revision ${offered.revision.number} don't lead to its digest")
@@ -62,6 +62,6 @@
 
 /** Whether [offered] starts from the set that [base] is. */
 fun startsFrom(
-    offered: SealedChanges,
-    base: SealedSet,
+    offered: ConfigurationDelta,
+    base: ConfigurationSnapshot,
 ): Boolean = offered.base == base.revision && offered.baseDigest == base.digest
--- a/control/src/main/kotlin/lagoonrudder/control/RepeatController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/RepeatController.kt
@@ -9,12 +9,12 @@
 package lagoonrudder.control
 
 import lagoonrudder.model.Digest
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Invariant
 import lagoonrudder.model.Invariants
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.rendezvousFirst
@@ -135,7 +135,7 @@
         val sinceElapsed: Duration,
     )
 
-    private val entries = LinkedHashMap<RepeatKey, Entry>()
+    private val entries = LinkedHashMap<IdempotencyKey, Entry>()
     private val history = ArrayDeque<Ownership>()
     private val start = Ownership(emptyList(), startedAt, startedElapsed)
     private var nextPermit = 1L
@@ -157,7 +157,7 @@
      * surrendered the key unseen.
      */
     fun reserve(
-        key: RepeatKey,
+        key: IdempotencyKey,
         body: Digest,
         now: Duration,
         date: Instant,
@@ -177,7 +177,7 @@
 
     /** Gives [key] up to its new owner. A permit that is still out becomes void; a run that began is told. */
     fun surrender(
-        key: RepeatKey,
+        key: IdempotencyKey,
         now: Duration,
         date: Instant,
     ): Surrender {
@@ -192,7 +192,7 @@
 
     /** Starts the run of [key] if [permit] is the one given out last and still good. */
     fun begin(
-        key: RepeatKey,
+        key: IdempotencyKey,
         permit: Long,
         now: Duration,
     ): RunDecision {
@@ -209,7 +209,7 @@
 
     /** The run of [key] ended with [answer]. */
     fun ended(
-        key: RepeatKey,
+        key: IdempotencyKey,
         answer: RecordedAnswer,
         now: Duration,
     ) {
@@ -221,7 +221,7 @@
     }
 
     /** The run of [key] proved not to have reached the back end: the key may run later. */
-    fun notRun(key: RepeatKey) {
+    fun notRun(key: IdempotencyKey) {
         val entry = entries[key] ?: return
         entry.runs = 0
         entry.state = KeyState.Open
@@ -229,7 +229,7 @@
 
     /** The run of [key] broke and may have happened. */
     fun lost(
-        key: RepeatKey,
+        key: IdempotencyKey,
         now: Duration,
     ) {
         val entry = entries[key] ?: return
@@ -272,7 +272,7 @@
     }
 
     private fun refusalForNew(
-        key: RepeatKey,
+        key: IdempotencyKey,
         date: Instant,
     ): RepeatDecision? {
         val owned = history.lastOrNull()?.let { ownerOf(key, it.targets) } == self
@@ -289,7 +289,7 @@
 
     private fun giveUp(
         entry: Entry,
-        key: RepeatKey,
+        key: IdempotencyKey,
         now: Duration,
         date: Instant,
     ): Surrender {
@@ -302,7 +302,7 @@
 
     /** Why a key that isn't in memory may have run in an earlier life of this process, or null when it can't have. */
     private fun unsafeReason(
-        key: RepeatKey,
+        key: IdempotencyKey,
         now: Duration,
         date: Instant,
     ): String? {
@@ -314,7 +314,7 @@
 
     /** The targets that owned [key] while it may already have been sent, before it became this target's. */
     private fun earlierOwners(
-        key: RepeatKey,
+        key: IdempotencyKey,
         now: Duration,
     ): List<TargetId> {
         val issued = issueTime(key)
@@ -327,7 +327,7 @@
     }
 
     private fun becameOwner(
-        key: RepeatKey,
+        key: IdempotencyKey,
         index: Int,
         ownership: Ownership,
     ): Boolean = ownerOf(key, ownership.targets) == self && ownerOf(key, history[index - 1].targets) != self
@@ -376,7 +376,7 @@
 
 /** The owner of [key] among [targets]; the same in every process that has the same set in force. */
 fun ownerOf(
-    key: RepeatKey,
+    key: IdempotencyKey,
     targets: List<TargetId>,
 ): TargetId? = rendezvousFirst(key.text, targets) { it.text }
 
@@ -386,7 +386,7 @@
 private const val HEXADECIMAL = 16
 
 /** The time at which [key] was issued when it is a version 7 UUID, otherwise null. */
-fun issueTime(key: RepeatKey): Instant? {
+fun issueTime(key: IdempotencyKey): Instant? {
     val text = key.text.lowercase()
     if (!text.matches(version7)) return null
     val milliseconds = text.replace("-", "").take(TIME_DIGITS).toLong(HEXADECIMAL)
--- a/control/src/main/kotlin/lagoonrudder/control/ServiceController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/ServiceController.kt
@@ -7,10 +7,10 @@
 package lagoonrudder.control
 
 import kotlinx.coroutines.CompletableDeferred
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.Service
 import lagoonrudder.model.TargetId
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -75,8 +75,12 @@
         when {
             leaving -> ServiceState.Closed("leaving", RETRY_AT_ONCE)
             !confirmed -> ServiceState.Closed("configuration is being confirmed", RETRY_SOON)
-            objects.domains[domain]?.service == Service.OUT -> ServiceState.Closed("failure domain out of service", RETRY_AT_ONCE)
-            target != null && objects.targets[target]?.service != Service.IN -> ServiceState.Closed("target out of service", RETRY_AT_ONCE)
+            objects.domains[domain]?.service == AdminState.OUT -> ServiceState.Closed("failure domain out of service", RETRY_AT_ONCE)
+            target != null && objects.targets[target]?.service != AdminState.IN ->
+                ServiceState.Closed(
+                    "target out of service",
+                    RETRY_AT_ONCE,
+                )
             else -> ServiceState.Serving
         }
 
--- a/control/src/test/kotlin/lagoonrudder/control/RoutingControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/RoutingControllerTest.kt
@@ -4,11 +4,11 @@
 import io.kotest.matchers.shouldBe
 import io.kotest.matchers.shouldNotBe
 import io.kotest.matchers.types.shouldBeInstanceOf
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.FleetId
 import lagoonrudder.model.IncarnationId
 import lagoonrudder.model.ObjectSet
-import lagoonrudder.model.Service
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.objectSet
@@ -25,7 +25,7 @@
         region("west")
         link("ost", "west", linkBytes)
         domain("ost")
-        domain("west", service = if (westOut) Service.OUT else Service.IN)
+        domain("west", service = if (westOut) AdminState.OUT else AdminState.IN)
         model("m")
         version("m-1", "m")
         engineFleet("workers", "m-1")
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationLoop.kt
@@ -17,6 +17,8 @@
 import lagoonrudder.control.startsFrom
 import lagoonrudder.daemon.DaemonCore
 import lagoonrudder.model.Address
+import lagoonrudder.model.ConfigurationDelta
+import lagoonrudder.model.ConfigurationSnapshot
 import lagoonrudder.model.DaemonId
 import lagoonrudder.model.DaemonRole
 import lagoonrudder.model.Digest
@@ -25,8 +27,6 @@
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedChanges
-import lagoonrudder.model.SealedSet
 import lagoonrudder.wire.documents.SealedHead
 import lagoonrudder.wire.documents.readHead
 import lagoonrudder.wire.documents.readParts
@@ -112,8 +112,8 @@
 
     /** What this process has and what a peer lacks of it. */
     private data class Known(
-        val set: SealedSet,
-        val changes: SealedChanges?,
+        val set: ConfigurationSnapshot,
+        val changes: ConfigurationDelta?,
         val instances: InstanceChanges?,
     )
 
@@ -128,14 +128,14 @@
     )
 
     private fun isNewer(
-        current: SealedSet,
+        current: ConfigurationSnapshot,
         revision: Revision,
         digest: Digest,
     ): Boolean = current.revision > revision || (current.revision == revision && revision > Revision.NONE && current.digest > digest)
 
     private fun offerMessage(
-        current: SealedSet,
-        changes: SealedChanges?,
+        current: ConfigurationSnapshot,
+        changes: ConfigurationDelta?,
     ): OfferMessage {
         val sender = core.settings.name.text
         return if (changes == null) OfferMessage(sender, true, writeWhole(current)) else OfferMessage(sender, false, writeChanges(changes))
@@ -228,7 +228,7 @@
 
     /** Offers changes; false when the whole set is needed. */
     private suspend fun offerChanges(
-        changes: SealedChanges,
+        changes: ConfigurationDelta,
         peer: Peer,
     ): Boolean {
         val current = core.thread.decide { core.configuration.current }
@@ -243,7 +243,7 @@
     }
 
     private suspend fun offerWhole(
-        offered: SealedSet,
+        offered: ConfigurationSnapshot,
         peer: Peer,
     ) {
         val current = core.thread.decide { core.configuration.current }
@@ -305,7 +305,7 @@
     private suspend fun pass(
         child: Instance,
         message: OfferMessage,
-        set: SealedSet,
+        set: ConfigurationSnapshot,
     ) {
         val reply = core.rpc.offer(child.address, message, OFFER_LIMIT)
         val wholeNeeded = reply.fold({ unheard(child.daemon, it) }, { it.wholeNeeded })
@@ -379,7 +379,7 @@
     private suspend fun takeReply(
         reply: ExchangeAnswer,
         address: Address,
-        own: SealedSet,
+        own: ConfigurationSnapshot,
     ) {
         reply.instances?.let { changes -> core.thread.decide { if (core.membership.apply(changes)) changed() } }
         val offer = reply.offer
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/Site.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/Site.kt
@@ -18,6 +18,7 @@
 import lagoonrudder.daemon.settings.PlatformSettings
 import lagoonrudder.daemon.settings.SlotSettings
 import lagoonrudder.model.Address
+import lagoonrudder.model.ConfigurationSnapshot
 import lagoonrudder.model.DaemonId
 import lagoonrudder.model.DaemonRole
 import lagoonrudder.model.DomainId
@@ -26,7 +27,6 @@
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedSet
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.Violation
@@ -66,7 +66,7 @@
     fun publish(objects: ObjectSet): Revision {
         objects.versions.values.forEach { origin.publish(it.id.text, SyntheticWeights(it.id.text, it.bytes, it.chunkBytes)) }
         val revision = Revision(platform.published().revision.number + 1)
-        platform.publish(SealedSet(revision, objects))
+        platform.publish(ConfigurationSnapshot(revision, objects))
         return revision
     }
 
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ControlMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ControlMeasure.kt
@@ -21,6 +21,8 @@
 import lagoonrudder.control.TargetReport
 import lagoonrudder.control.Waiting
 import lagoonrudder.control.startsFrom
+import lagoonrudder.model.ConfigurationDelta
+import lagoonrudder.model.ConfigurationSnapshot
 import lagoonrudder.model.CustomerId
 import lagoonrudder.model.DaemonId
 import lagoonrudder.model.DomainId
@@ -34,8 +36,6 @@
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedChanges
-import lagoonrudder.model.SealedSet
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.objectSet
 import lagoonrudder.wire.documents.writeChanges
@@ -121,7 +121,11 @@
     val objects = setOf(targets)
     val routing = RoutingController("entry-1", DomainId("d0"), ChoicePolicy.FreshRoom(), Random(1))
     val before = usedMemory()
-    controller.offer(CheckedSet.ofWhole(SealedSet(Revision(1), objects), controller.current, peer).getOrElse { error(it.describe()) })
+    controller.offer(
+        CheckedSet.ofWhole(ConfigurationSnapshot(Revision(1), objects), controller.current, peer).getOrElse {
+            error(it.describe())
+        },
+    )
     var off = Duration.ZERO
     var on = Duration.ZERO
     var bytes = 0
@@ -152,16 +156,16 @@
 }
 
 private fun change(
-    set: SealedSet,
+    set: ConfigurationSnapshot,
     number: Int,
-): SealedChanges {
+): ConfigurationDelta {
     val target =
         set.objects.targets.values
             .elementAt(number * 31 % set.objects.targets.size)
     val changed: OperatorObject = target.copy(requests = target.requests + 1)
     val changes = ObjectChanges(listOf(changed), emptyList())
     val next = set.objects.plus(changes)
-    return SealedChanges(set.revision, set.digest, Revision(set.revision.number + 1), next.digest, changes)
+    return ConfigurationDelta(set.revision, set.digest, Revision(set.revision.number + 1), next.digest, changes)
 }
 
 private fun usedMemory(): Long {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
@@ -41,6 +41,7 @@
 import lagoonrudder.daemon.front.CompletionDecoder
 import lagoonrudder.model.Address
 import lagoonrudder.model.Clock
+import lagoonrudder.model.ConfigurationSnapshot
 import lagoonrudder.model.DaemonId
 import lagoonrudder.model.DaemonRole
 import lagoonrudder.model.DomainId
@@ -55,7 +56,6 @@
 import lagoonrudder.model.RegionId
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedSet
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.Violation
@@ -274,7 +274,7 @@
 
     private fun configureAll(hears: (String) -> Boolean = { true }) {
         generation++
-        val set = SealedSet(revision, objects)
+        val set = ConfigurationSnapshot(revision, objects)
         val instances = instances()
         for (target in targets.values) {
             if (!hears(target.id.text)) continue
@@ -292,7 +292,7 @@
 
     private fun offer(
         configuration: ConfigurationController,
-        set: SealedSet,
+        set: ConfigurationSnapshot,
     ) {
         CheckedSet.ofWhole(set, configuration.current, PEER).fold({ error(it.describe()) }, { configuration.offer(it) })
         configuration.confirm()
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdentifyFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdentifyFilter.kt
@@ -11,13 +11,13 @@
 import lagoonrudder.control.ServiceState
 import lagoonrudder.control.refusal
 import lagoonrudder.model.Clock
+import lagoonrudder.model.ConfigurationSnapshot
 import lagoonrudder.model.FleetKind
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.Peer
 import lagoonrudder.model.Refusal
 import lagoonrudder.model.RequestId
-import lagoonrudder.model.SealedSet
 import lagoonrudder.model.Step
 import lagoonrudder.traffic.Filter
 import lagoonrudder.traffic.Next
@@ -49,7 +49,7 @@
         )
     }
 
-    private fun openSet(): Either<Refusal, SealedSet> {
+    private fun openSet(): Either<Refusal, ConfigurationSnapshot> {
         val set = control.configuration.current
         val now = clock.elapsed()
         val confirmed = control.configuration.mayServe(now) && !control.service.wasPaused(now)
@@ -61,7 +61,7 @@
 
     private fun identify(
         call: EntryCall,
-        set: SealedSet,
+        set: ConfigurationSnapshot,
     ): Either<Refusal, Identity> =
         either {
             val route = set.objects.routeFor(call.caller.path) ?: raise(Refusal.UnknownRoute)
--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/ObjectText.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/ObjectText.kt
@@ -8,6 +8,7 @@
 import arrow.core.raise.Raise
 import arrow.core.raise.either
 import arrow.core.right
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.CustomerId
 import lagoonrudder.model.Digest
 import lagoonrudder.model.DomainId
@@ -21,7 +22,6 @@
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.RegionId
 import lagoonrudder.model.RouteId
-import lagoonrudder.model.Service
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.VersionId
@@ -78,7 +78,7 @@
             ObjectKind.REGION -> OperatorObject.Region(RegionId(key.name), yesOrNo("origin"))
             ObjectKind.LINK -> OperatorObject.Link(key.name, RegionId(text("first")), RegionId(text("second")), long("bytes-per-second"))
             ObjectKind.DOMAIN ->
-                OperatorObject.Domain(DomainId(key.name), RegionId(text("region")), choice("service", Service.entries))
+                OperatorObject.Domain(DomainId(key.name), RegionId(text("region")), choice("service", AdminState.entries))
             ObjectKind.CUSTOMER -> OperatorObject.Customer(CustomerId(key.name), text("token"), int("weight"))
             ObjectKind.MODEL -> OperatorObject.Model(ModelId(key.name))
             ObjectKind.VERSION -> readVersion(section, key.name)
@@ -126,7 +126,7 @@
             id = TargetId(name),
             fleet = FleetId(text("fleet")),
             domain = DomainId(text("domain")),
-            service = choice("service", Service.entries),
+            service = choice("service", AdminState.entries),
             weightBytes = long("weight-bytes"),
             memoryTokens = long("memory-tokens"),
             requests = int("requests"),
--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/SealedDocument.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/SealedDocument.kt
@@ -13,6 +13,8 @@
 import arrow.core.raise.either
 import arrow.core.raise.ensure
 import arrow.core.right
+import lagoonrudder.model.ConfigurationDelta
+import lagoonrudder.model.ConfigurationSnapshot
 import lagoonrudder.model.Digest
 import lagoonrudder.model.Failure
 import lagoonrudder.model.MAXIMUM_PART_BYTES
@@ -22,8 +24,6 @@
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Peer
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedChanges
-import lagoonrudder.model.SealedSet
 import lagoonrudder.model.Step
 import lagoonrudder.model.canonicalText
 import lagoonrudder.model.changesBetween
@@ -46,7 +46,7 @@
     val revision: Revision,
     val digest: Digest,
     val parts: List<Digest>,
-    val changes: SealedChanges?,
+    val changes: ConfigurationDelta?,
 )
 
 /** What the tool publishes: write the parts first, the head last. */
@@ -57,8 +57,8 @@
 
 /** Seals [set] as the successor of [before]. Fails when the revision doesn't rise or an object exceeds a part. */
 fun seal(
-    set: SealedSet,
-    before: SealedSet,
+    set: ConfigurationSnapshot,
+    before: ConfigurationSnapshot,
     file: String,
 ): Either<Failure.Malformed, SealedDocument> =
     either {
@@ -71,11 +71,11 @@
     }
 
 /** The text that carries [changes] alone, for peers. */
-fun writeChanges(changes: SealedChanges): String =
+fun writeChanges(changes: ConfigurationDelta): String =
     headText(changes.revision, changes.digest, emptyList(), changes) + writeObjects(changes.changes.changed)
 
 /** The text that carries the whole of [set], for peers. */
-fun writeWhole(set: SealedSet): String =
+fun writeWhole(set: ConfigurationSnapshot): String =
     headText(set.revision, set.digest, listOf(set.digest), null) + writeObjects(set.objects.byKey.values)
 
 /** Reads a head from the platform or changes from a peer; objects in it belong to its changes. */
@@ -95,27 +95,27 @@
     head: SealedHead,
     parts: Map<Digest, String>,
     peer: Peer,
-): Either<Failure, SealedSet> =
+): Either<Failure, ConfigurationSnapshot> =
     either {
         val texts = head.parts.map { parts[it] ?: raise(damaged(peer, "part ${it.hexadecimal} is missing")) }
         for ((digest, text) in head.parts.zip(texts)) {
             ensure(digestOf(text.encodeToByteArray()) == digest) { damaged(peer, "part ${digest.hexadecimal} doesn't match its digest") }
         }
         val objects = readObjects(texts.joinToString("\n"), peer.toString()).mapLeft { it.first() }.bind()
-        verified(SealedSet(head.revision, objects), head.digest, peer).bind()
+        verified(ConfigurationSnapshot(head.revision, objects), head.digest, peer).bind()
     }
 
 /** Reads a whole set that a peer sent as one text. */
 fun readWhole(
     text: String,
     peer: Peer,
-): Either<Failure, SealedSet> =
+): Either<Failure, ConfigurationSnapshot> =
     either {
         val sections = readIni(text, peer.toString(), Step.VERIFY_SEAL).bind()
         val sealed = sections.firstOrNull { it.name == SEALED } ?: raise(damaged(peer, "no section [$SEALED]"))
         val objects = readSections(sections - sealed).mapLeft { it.first() }.bind()
         val head = readSealed(sealed, emptyList())
-        verified(SealedSet(head.revision, ObjectSet(objects)), head.digest, peer).bind()
+        verified(ConfigurationSnapshot(head.revision, ObjectSet(objects)), head.digest, peer).bind()
     }
 
 private const val SEALED = "sealed"
@@ -125,10 +125,17 @@
 private const val LARGEST_CHANGES = 400_000
 
 private fun verified(
-    set: SealedSet,
+    set: ConfigurationSnapshot,
     digest: Digest,
     peer: Peer,
-): Either<Failure, SealedSet> = if (set.digest == digest) set.right() else damaged(peer, "the set doesn't match its digest").left()
+): Either<Failure, ConfigurationSnapshot> =
+    if (set.digest ==
+        digest
+    ) {
+        set.right()
+    } else {
+        damaged(peer, "the set doesn't match its digest").left()
+    }
 
 private fun damaged(
     peer: Peer,
@@ -160,11 +167,11 @@
 }
 
 private fun writeHead(
-    set: SealedSet,
+    set: ConfigurationSnapshot,
     parts: List<Digest>,
-    before: SealedSet,
+    before: ConfigurationSnapshot,
 ): String {
-    val changes = SealedChanges(before.revision, before.digest, set.revision, set.digest, changesBetween(before.objects, set.objects))
+    val changes = ConfigurationDelta(before.revision, before.digest, set.revision, set.digest, changesBetween(before.objects, set.objects))
     val objects = writeObjects(changes.changes.changed)
     val small = before.revision > Revision.NONE && objects.length <= LARGEST_CHANGES
     val head = headText(set.revision, set.digest, parts, changes.takeIf { small })
@@ -175,7 +182,7 @@
     revision: Revision,
     digest: Digest,
     parts: List<Digest>,
-    changes: SealedChanges?,
+    changes: ConfigurationDelta?,
 ): String =
     buildString {
         append("[$SEALED]\n")
@@ -209,7 +216,7 @@
         nothingElse()
         val changes =
             if (base != null && baseDigest != null) {
-                SealedChanges(base, baseDigest, revision, digest, ObjectChanges(objects, removed))
+                ConfigurationDelta(base, baseDigest, revision, digest, ObjectChanges(objects, removed))
             } else {
                 null
             }
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/Mapping.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/Mapping.kt
@@ -19,10 +19,10 @@
 import lagoonrudder.model.Digest
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.FleetId
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.IncarnationId
 import lagoonrudder.model.Instance
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
 import lagoonrudder.model.TargetId
@@ -73,7 +73,7 @@
         timeLeft = timeLeftMilliseconds.milliseconds,
         tokens = tokens.takeIf { it > 0 } ?: malformed("tokens $tokens"),
         priority = priority,
-        permit = permit?.let { RunPermit(RepeatKey(it.key), it.number) },
+        permit = permit?.let { RunPermit(IdempotencyKey(it.key), it.number) },
         work = workOf(this),
     )
 
@@ -135,7 +135,7 @@
 
 fun ReserveRequest.toMessage() = ReserveMessage(request.text, fleet.text, key.text, body.hexadecimal, revision.number)
 
-fun ReserveMessage.toRequest() = ReserveRequest(RequestId(request), FleetId(fleet), RepeatKey(key), Digest(body), Revision(revision))
+fun ReserveMessage.toRequest() = ReserveRequest(RequestId(request), FleetId(fleet), IdempotencyKey(key), Digest(body), Revision(revision))
 
 fun RepeatDecision.toMessage(): ReserveReply =
     when (this) {
@@ -161,7 +161,7 @@
 
 fun SurrenderRequest.toMessage() = SurrenderMessage(key.text, revision.number)
 
-fun SurrenderMessage.toRequest() = SurrenderRequest(RepeatKey(key), Revision(revision))
+fun SurrenderMessage.toRequest() = SurrenderRequest(IdempotencyKey(key), Revision(revision))
 
 fun Surrender.toMessage(): SurrenderReply =
     when (this) {
