--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntry.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntry.kt
@@ -106,7 +106,7 @@
             gone.forEach { core.log.info("back-end-gone", "target" to it.text, "source" to "lapsed") }
             if (pause != null) {
                 core.log.warning("paused", "for" to pause)
-                core.http.forget(settings.store)
+                core.http.closeIdle(settings.store)
                 store.hurry()
             }
         }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerClient.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerClient.kt
@@ -79,7 +79,7 @@
             http.exchange(address, request, peer, limit).flatMap {
                 if (it.head.status == OK) it.right() else Failure.Declined(Step.SEND, peer, "status ${it.head.status}").left()
             }
-        if (result is Either.Left && result.value is Failure.TimedOut) http.forget(address)
+        if (result is Either.Left && result.value is Failure.TimedOut) http.closeIdle(address)
         return result
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StoreLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StoreLoop.kt
@@ -105,7 +105,7 @@
             lostSince = now
             core.log.failure("store-lost", failure)
         }
-        core.http.forget(core.settings.store)
+        core.http.closeIdle(core.settings.store)
         failures++
         delay((FIRST_PAUSE * failures).coerceAtMost(LONGEST_PAUSE))
     }
--- a/http/src/main/kotlin/lagoonrudder/http/HttpClient.kt
+++ b/http/src/main/kotlin/lagoonrudder/http/HttpClient.kt
@@ -1,5 +1,5 @@
 /**
- * Connections to servers, kept for reuse while the server keeps them.
+ * An HTTP/1.1 client with a pool of persistent connections.
  */
 package lagoonrudder.http
 
@@ -27,15 +27,16 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Opens and keeps connections. All functions run on the loop's thread.
+ * Sends requests over pooled connections. All functions must be called on the event loop thread.
  *
- * [connectLimit] bounds the opening of a connection; [idleLimit] how long one is kept, whatever its server allows.
+ * [connectTimeout] is the timeout for opening a connection. [idleTimeout] is the maximum idle time of a pooled connection, even
+ * if its server allows more.
  */
 class HttpClient(
     private val loop: HttpEventLoop,
     private val clock: Clock,
-    private val connectLimit: Duration = CONNECT_LIMIT,
-    private val idleLimit: Duration = IDLE_LIMIT,
+    private val connectTimeout: Duration = CONNECT_TIMEOUT,
+    private val idleTimeout: Duration = IDLE_TIMEOUT,
 ) {
     private class Idle(
         val connection: HttpConnection,
@@ -50,53 +51,57 @@
             .option(ChannelOption.ALLOCATOR, loop.allocator)
             .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.SO_KEEPALIVE, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectLimit.inWholeMilliseconds.toInt())
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeout.inWholeMilliseconds.toInt())
 
     /**
-     * Sends [request] on a connection that was idle for at most [maxIdleTime], or on a new one. A [Failure.Unreachable] means
-     * that nothing was sent.
+     * Sends [request] on a connection that was idle for at most [maxIdleTime], or on a new one. Responses whose head [matches]
+     * rejects are skipped. A [Failure.Unreachable] means that nothing was sent.
      */
     suspend fun send(
         address: Address,
         request: HttpRequest,
         peer: Peer,
-        maxIdleTime: Duration = idleLimit,
-        belongs: (HttpResponseHead) -> Boolean = { true },
+        maxIdleTime: Duration = idleTimeout,
+        matches: (HttpResponseHead) -> Boolean = { true },
     ): Either<Failure, HttpCall> {
-        val connection = reuse(address, maxIdleTime) ?: open(address)
-        if (connection == null || !connection.usable) return Failure.Unreachable(Step.CONNECT, peer, "no connection to $address").left()
-        return connection.send(request, belongs) { keep(address, it) }.right()
+        val connection = takeIdle(address, maxIdleTime) ?: open(address)
+        if (connection == null ||
+            !connection.isReusable
+        ) {
+            return Failure.Unreachable(Step.CONNECT, peer, "could not connect to $address").left()
+        }
+        return connection.send(request, matches) { release(address, it) }.right()
     }
 
-    /** Sends [request] and reads the whole answer, at most [maxBytes] of it, within [limit]. */
+    /** Sends [request] and reads the complete response of at most [maxBytes] within [timeout]. */
     suspend fun exchange(
         address: Address,
         request: HttpRequest,
         peer: Peer,
-        limit: Duration,
-        maxBytes: Int = MOST_BYTES,
+        timeout: Duration,
+        maxBytes: Int = MAX_RESPONSE_BYTES,
     ): Either<Failure, HttpResponse> {
         var call: HttpCall? = null
         try {
             val result =
-                withTimeoutOrNull(limit) {
+                withTimeoutOrNull(timeout) {
                     when (val sent = send(address, request, peer)) {
                         is Either.Left -> sent
-                        is Either.Right -> readWhole(sent.value.also { call = it }, peer, maxBytes)
+                        is Either.Right -> readResponse(sent.value.also { call = it }, peer, maxBytes)
                     }
                 }
-            return result ?: Failure.TimedOut(Step.SEND, peer, limit).left()
+            return result ?: Failure.TimedOut(Step.SEND, peer, timeout).left()
         } finally {
             call?.abandon()
         }
     }
 
-    /** Closes the idle connections to [address], for example after one of them went silent. */
-    fun forget(address: Address) {
+    /** Closes the idle connections to [address], for example after one of them stopped responding. */
+    fun closeIdle(address: Address) {
         idle.remove(address)?.forEach { it.connection.close() }
     }
 
-    private suspend fun readWhole(
+    private suspend fun readResponse(
         call: HttpCall,
         peer: Peer,
         maxBytes: Int,
@@ -110,11 +115,20 @@
                 HttpEvent.End -> return HttpResponse(checkNotNull(head), body.toByteArray()).right()
                 is HttpEvent.Broken -> return Failure.Interrupted(Step.SEND, peer, event.detail).left()
             }
-            if (body.size() > maxBytes) return Failure.Damaged(Step.SEND, peer, "answer longer than $maxBytes bytes").left()
+            if (body.size() >
+                maxBytes
+            ) {
+                return Failure
+                    .Damaged(
+                        Step.SEND,
+                        peer,
+                        "response body of at least ${body.size()} bytes exceeds the limit of $maxBytes bytes",
+                    ).left()
+            }
         }
     }
 
-    private fun reuse(
+    private fun takeIdle(
         address: Address,
         maxIdleTime: Duration,
     ): HttpConnection? {
@@ -123,52 +137,52 @@
         while (true) {
             val last = kept.removeLastOrNull() ?: return null
             val age = now - last.since
-            if (last.connection.usable && age < minOf(last.connection.keptFor, maxIdleTime)) return last.connection
+            if (last.connection.isReusable && age < minOf(last.connection.keepAlive, maxIdleTime)) return last.connection
             last.connection.close()
         }
     }
 
-    private fun keep(
+    private fun release(
         address: Address,
         connection: HttpConnection,
     ) {
         val now = clock.elapsed()
         val kept = idle.getOrPut(address) { ArrayDeque() }
-        while (kept.isNotEmpty() && now - kept.first().since > idleLimit) kept.removeFirst().connection.close()
+        while (kept.isNotEmpty() && now - kept.first().since > idleTimeout) kept.removeFirst().connection.close()
         kept.addLast(Idle(connection, now))
     }
 
     private suspend fun open(address: Address): HttpConnection? {
-        var made: HttpConnection? = null
+        var connection: HttpConnection? = null
         val initializer =
             object : ChannelInitializer<SocketChannel>() {
                 override fun initChannel(channel: SocketChannel) {
-                    val connection = HttpConnection(channel, address)
-                    made = connection
-                    channel.pipeline().addLast(HttpClientCodec(), connection)
+                    val created = HttpConnection(channel, address)
+                    connection = created
+                    channel.pipeline().addLast(HttpClientCodec(), created)
                 }
             }
-        val opened =
+        val channel =
             bootstrap
                 .clone()
                 .handler(initializer)
                 .connect(address.host, address.port)
-                .awaitOpen()
-        return if (opened != null) made else null
+                .awaitConnected()
+        return if (channel != null) connection else null
     }
 
-    private suspend fun ChannelFuture.awaitOpen(): Channel? =
-        suspendCancellableCoroutine { waiting ->
+    private suspend fun ChannelFuture.awaitConnected(): Channel? =
+        suspendCancellableCoroutine { continuation ->
             addListener {
-                if (waiting.isActive) waiting.resume(if (it.isSuccess) channel() else null) else channel().close()
+                if (continuation.isActive) continuation.resume(if (it.isSuccess) channel() else null) else channel().close()
             }
-            waiting.invokeOnCancellation { channel().close() }
+            continuation.invokeOnCancellation { channel().close() }
         }
 
     companion object {
-        /** Two retransmissions of a lost opening packet would take seconds; another server is tried before that. */
-        val CONNECT_LIMIT = 500.milliseconds
-        val IDLE_LIMIT = 8_000.milliseconds
-        const val MOST_BYTES = 4_194_304
+        /** Two retransmissions of a lost SYN packet would take seconds. This fails earlier, so that another server can be tried. */
+        val CONNECT_TIMEOUT = 500.milliseconds
+        val IDLE_TIMEOUT = 8_000.milliseconds
+        const val MAX_RESPONSE_BYTES = 4_194_304
     }
 }
--- a/http/src/main/kotlin/lagoonrudder/http/HttpConnection.kt
+++ b/http/src/main/kotlin/lagoonrudder/http/HttpConnection.kt
@@ -1,8 +1,8 @@
 /**
- * One connection to a server, which carries one request at a time.
+ * A client connection to a server, which carries one request at a time.
  *
- * What a caller must know to stay truthful is kept apart: whether the connection ever opened, whether an answer ended as
- * it should, and whether bytes came that belong to no request.
+ * It distinguishes the cases that decide what a caller may claim about a request: whether the connection was ever
+ * established, whether a response was complete, and whether bytes arrived that belong to no request.
  */
 package lagoonrudder.http
 
@@ -28,7 +28,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** What comes back on a connection, in this order: a head, bytes, an end. [Broken] may take the place of any of them. */
+/** An event of a response, in the order head, bytes, end. [Broken] may replace any of them and is the last event. */
 sealed class HttpEvent {
     class Head(
         val head: HttpResponseHead,
@@ -40,17 +40,17 @@
 
     data object End : HttpEvent()
 
-    /** The connection ended or carried something that is no answer; the request may have been read. */
+    /** The connection was closed or sent an invalid response. The server may have received the request. */
     data class Broken(
         val detail: String,
     ) : HttpEvent()
 }
 
-/** A request that was sent. Every function runs on the loop's thread. */
+/** A request in progress. All functions must be called on the event loop thread. */
 interface HttpCall {
     suspend fun next(): HttpEvent
 
-    /** Ends the call; unless its answer has ended, the connection is closed. */
+    /** Cancels the call, and closes its connection unless the response is complete. */
     fun abandon()
 }
 
@@ -59,20 +59,20 @@
     private val address: Address,
 ) : ChannelInboundHandlerAdapter() {
     private var call: OpenCall? = null
-    private var spoiled = false
+    private var closed = false
 
-    /** How long the server keeps the connection while it is idle. */
-    var keptFor: Duration = DEFAULT_KEEP
+    /** How long the server keeps the connection open while it is idle. */
+    var keepAlive: Duration = DEFAULT_KEEP_ALIVE
         private set
 
-    /** Whether another request may be sent here. */
-    val usable: Boolean get() = call == null && !spoiled && channel.isActive
+    /** Whether another request may be sent on this connection. */
+    val isReusable: Boolean get() = call == null && !closed && channel.isActive
 
-    /** Sends [request]. An answer whose head [belongs] turns down is skipped, as it answers an earlier request. */
+    /** Sends [request]. A response whose head [matches] rejects is skipped, because it belongs to an earlier request. */
     fun send(
         request: HttpRequest,
-        belongs: (HttpResponseHead) -> Boolean,
-        released: (HttpConnection) -> Unit,
+        matches: (HttpResponseHead) -> Boolean,
+        onRelease: (HttpConnection) -> Unit,
     ): HttpCall {
         val message =
             DefaultFullHttpRequest(
@@ -88,17 +88,17 @@
         ) {
             message.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, request.body.size)
         }
-        val opened = OpenCall(belongs, released)
+        val opened = OpenCall(matches, onRelease)
         call = opened
         channel
             .writeAndFlush(
                 message,
-            ).addListener { if (it.isSuccess) opened.written = true else opened.fail("write failed: ${it.cause()}") }
+            ).addListener { if (it.isSuccess) opened.written = true else opened.fail("request write to $address failed: ${it.cause()}") }
         return opened
     }
 
     fun close() {
-        spoiled = true
+        closed = true
         channel.close()
     }
 
@@ -115,7 +115,7 @@
     }
 
     override fun channelInactive(context: ChannelHandlerContext) {
-        call?.fail("connection closed by $address")
+        call?.fail("connection closed by $address before the end of the response")
     }
 
     @Deprecated("Netty declares this function deprecated for handlers of both directions")
@@ -128,22 +128,22 @@
     }
 
     private inner class OpenCall(
-        private val belongs: (HttpResponseHead) -> Boolean,
-        private val released: (HttpConnection) -> Unit,
+        private val matches: (HttpResponseHead) -> Boolean,
+        private val onRelease: (HttpConnection) -> Unit,
     ) : HttpCall {
-        // A channel could lose an event that arrives just as the wait for it is cancelled.
+        // Not a coroutine channel, which can lose an event that arrives while its receiver is being cancelled.
         private val events = ArrayDeque<HttpEvent>()
         private var reader: CancellableContinuation<Unit>? = null
-        private var waitingBytes = 0
+        private var unreadBytes = 0
         private var skipping = false
         private var ended = false
-        private var keep = true
+        private var persistent = true
         var written = false
 
         override suspend fun next(): HttpEvent {
             while (events.isEmpty()) suspendCancellableCoroutine { reader = it }
             val event = events.removeFirst()
-            if (event is HttpEvent.Bytes) taken(event.data.size)
+            if (event is HttpEvent.Bytes) consumed(event.data.size)
             return event
         }
 
@@ -170,25 +170,25 @@
 
         private fun readHead(response: HttpResponse): Boolean {
             if (response.decoderResult().isFailure) {
-                fail("not an answer: ${response.decoderResult().cause()}")
+                fail("invalid response head from $address: ${response.decoderResult().cause()}")
                 return false
             }
             val head = headOf(response)
-            skipping = head.status < FINAL_STATUS || !belongs(head)
-            keep = HttpUtil.isKeepAlive(response) && (head.length != null || HttpUtil.isTransferEncodingChunked(response))
+            skipping = head.status < FIRST_FINAL_STATUS || !matches(head)
+            persistent = HttpUtil.isKeepAlive(response) && (head.length != null || HttpUtil.isTransferEncodingChunked(response))
             if (!skipping) {
-                keptFor = keptFor(head)
+                keepAlive = keepAliveOf(head)
                 deliver(HttpEvent.Head(head))
             }
             return true
         }
 
         private fun readContent(content: HttpContent) {
-            if (content.decoderResult().isFailure) return fail("damaged body: ${content.decoderResult().cause()}")
+            if (content.decoderResult().isFailure) return fail("invalid response body from $address: ${content.decoderResult().cause()}")
             val bytes = ByteBufUtil.getBytes(content.content())
             if (bytes.isNotEmpty() && !skipping) {
-                waitingBytes += bytes.size
-                if (waitingBytes > READ_WINDOW_BYTES) channel.config().isAutoRead = false
+                unreadBytes += bytes.size
+                if (unreadBytes > READ_WINDOW_BYTES) channel.config().isAutoRead = false
                 deliver(HttpEvent.Bytes(bytes))
             }
             if (content is LastHttpContent) finish()
@@ -202,7 +202,7 @@
             ended = true
             deliver(HttpEvent.End)
             detach()
-            if (keep && written) released(this@HttpConnection) else close()
+            if (persistent && written) onRelease(this@HttpConnection) else close()
         }
 
         private fun deliver(event: HttpEvent) {
@@ -216,9 +216,9 @@
             channel.config().isAutoRead = true
         }
 
-        private fun taken(size: Int) {
-            waitingBytes -= size
-            if (waitingBytes <= READ_WINDOW_BYTES / 2 && !channel.config().isAutoRead) channel.config().isAutoRead = true
+        private fun consumed(size: Int) {
+            unreadBytes -= size
+            if (unreadBytes <= READ_WINDOW_BYTES / 2 && !channel.config().isAutoRead) channel.config().isAutoRead = true
         }
     }
 
@@ -227,8 +227,8 @@
         return HttpResponseHead(response.status().code(), response.headers().map { HeaderField(it.key, it.value) }, length)
     }
 
-    /** The server's own idle limit, less a second for what is on its way. */
-    private fun keptFor(head: HttpResponseHead): Duration {
+    /** Returns the server's keep-alive timeout, less a second for requests in transit. */
+    private fun keepAliveOf(head: HttpResponseHead): Duration {
         val stated =
             head.field("Keep-Alive")?.let {
                 KEEP_ALIVE_SECONDS
@@ -236,17 +236,17 @@
                     ?.groupValues
                     ?.get(1)
                     ?.toIntOrNull()
-            } ?: return DEFAULT_KEEP
-        return (stated.seconds - KEEP_MARGIN).coerceAtLeast(Duration.ZERO)
+            } ?: return DEFAULT_KEEP_ALIVE
+        return (stated.seconds - KEEP_ALIVE_MARGIN).coerceAtLeast(Duration.ZERO)
     }
 
     private companion object {
-        const val FINAL_STATUS = 200
+        const val FIRST_FINAL_STATUS = 200
 
-        /** What may wait in the process of one answer before reading is held back, in bytes. */
+        /** The number of unread bytes of a response above which reading from the socket is suspended. */
         const val READ_WINDOW_BYTES = 32_768
-        val DEFAULT_KEEP = 4.seconds
-        val KEEP_MARGIN = 1.seconds
+        val DEFAULT_KEEP_ALIVE = 4.seconds
+        val KEEP_ALIVE_MARGIN = 1.seconds
         val KEEP_ALIVE_SECONDS = Regex("timeout=(\\d+)")
     }
 }
--- a/http/src/main/kotlin/lagoonrudder/http/HttpEventLoop.kt
+++ b/http/src/main/kotlin/lagoonrudder/http/HttpEventLoop.kt
@@ -1,5 +1,5 @@
 /**
- * The one thread on which connections are read and written, and on which request coroutines run.
+ * The single event loop thread, which performs all connection I/O and runs the coroutines of requests.
  */
 package lagoonrudder.http
 
@@ -17,7 +17,7 @@
 ) : AutoCloseable {
     internal val group: EventLoopGroup = MultiThreadIoEventLoopGroup(1, DefaultThreadFactory(name, true), NioIoHandler.newFactory())
 
-    /** Heap buffers without a pool: a pool of arenas costs more memory than all requests of a daemon. */
+    /** Unpooled heap buffers, because the arenas of a pool would use more memory than all requests of a daemon. */
     internal val allocator = UnpooledByteBufAllocator(false)
 
     val dispatcher: CoroutineDispatcher = group.next().asCoroutineDispatcher()
--- a/http/src/main/kotlin/lagoonrudder/http/HttpMessages.kt
+++ b/http/src/main/kotlin/lagoonrudder/http/HttpMessages.kt
@@ -1,11 +1,11 @@
 /**
- * Requests and answers as this module reads and writes them: a start line, fields in their order, and bytes.
+ * HTTP requests and responses: a start line, header fields in their order, and a body.
  */
 package lagoonrudder.http
 
 import lagoonrudder.model.HeaderField
 
-/** A request whose body is whole. [target] is the path with its query, as it stands on the wire. */
+/** A request with its complete body. [target] is the path with the query, as sent on the wire. */
 class HttpRequest(
     val method: String,
     val target: String,
@@ -15,7 +15,7 @@
     fun field(name: String): String? = fields.firstOrNull { it.name.equals(name, ignoreCase = true) }?.value
 }
 
-/** The start of an answer. [length] is null when the answer is sent in chunks or ends with its connection. */
+/** The head of a response. [length] is null when the response is chunked or delimited by the end of its connection. */
 class HttpResponseHead(
     val status: Int,
     val fields: List<HeaderField>,
@@ -24,7 +24,7 @@
     fun field(name: String): String? = fields.firstOrNull { it.name.equals(name, ignoreCase = true) }?.value
 }
 
-/** A whole answer. */
+/** A complete response. */
 class HttpResponse(
     val head: HttpResponseHead,
     val body: ByteArray,
@@ -32,7 +32,7 @@
 
 val NO_BYTES = ByteArray(0)
 
-/** Field names that concern one connection only and are never passed on, in lower case. */
+/** Names of header fields that apply to one connection only and are never forwarded, in lower case. */
 val HOP_BY_HOP_FIELDS =
     setOf(
         "connection",
--- a/http/src/main/kotlin/lagoonrudder/http/HttpServer.kt
+++ b/http/src/main/kotlin/lagoonrudder/http/HttpServer.kt
@@ -1,8 +1,8 @@
 /**
- * An HTTP/1.1 server whose handler gets whole requests and sends answers piece by piece.
+ * An HTTP/1.1 server whose handler receives complete requests and may stream its responses.
  *
- * A request that breaks a limit or the protocol is answered with a status of its own and never reaches the handler. When
- * the caller closes its connection, the handler's coroutine is cancelled.
+ * A request that exceeds a limit or violates the protocol is rejected with a specific status and never reaches the handler.
+ * When the caller closes its connection, the coroutine of the handler is cancelled.
  */
 package lagoonrudder.http
 
@@ -25,30 +25,30 @@
 import kotlin.time.Duration.Companion.seconds
 
 fun interface HttpHandler {
-    /** Answers [exchange]; returning before the answer has ended breaks the connection off. */
+    /** Responds to [exchange]. Returning before the end of the response closes the connection. */
     suspend fun handle(exchange: HttpExchange)
 }
 
-/** One request and the answer to it. Every function runs on the loop's thread. */
+/** A request and its response. All functions must be called on the event loop thread. */
 interface HttpExchange {
     val request: HttpRequest
 
-    /** Sends a whole answer; its length is set here. */
+    /** Sends a complete response and sets its length. */
     suspend fun respond(
         status: Int,
         fields: List<lagoonrudder.model.HeaderField>,
         body: ByteArray,
     )
 
-    /** Starts an answer; without a [HttpResponseHead.length] it is sent in chunks. */
+    /** Starts a response, which is chunked unless [HttpResponseHead.length] is set. */
     suspend fun begin(head: HttpResponseHead)
 
-    /** Sends part of the body; suspends while the caller does not read. */
+    /** Sends part of the body, and suspends while the caller does not read. */
     suspend fun write(bytes: ByteArray)
 
     suspend fun end()
 
-    /** Closes the connection so that the answer can't look complete. */
+    /** Closes the connection so that the response can't appear complete. */
     fun abort()
 }
 
@@ -56,35 +56,35 @@
     private val channel: Channel,
     private val state: ServerState,
 ) : AutoCloseable {
-    /** The port that was bound. */
+    /** The bound port. */
     val port: Int get() = (channel.localAddress() as java.net.InetSocketAddress).port
 
-    /** The number of requests that are being answered. */
+    /** The number of requests being processed. */
     val activeRequests: Int get() = state.activeRequests.get()
 
-    /** From now on every answer closes its connection, and idle connections are closed. */
+    /** Closes idle connections now, and every other connection after its next response. */
     fun drain() {
-        state.retiring = true
+        state.draining = true
         state.connections.forEach { it.closeWhenIdle() }
     }
 
-    /** Takes no new connection and reads no further request; what is being answered goes on to its end. */
+    /** Stops accepting connections and reading requests. Requests in progress run to completion. */
     fun stopReading() {
-        state.deaf = true
+        state.readingStopped = true
         channel.close()
         state.connections.forEach { it.closeWhenIdle() }
     }
 
     override fun close() {
         channel.close()
-        state.connections.forEach { it.abandon() }
+        state.connections.forEach { it.closeNow() }
     }
 
     companion object {
-        /** Limits for ends that only the system's own processes call. */
+        /** Limits for endpoints that only processes of this system call. */
         val PEER_LIMITS = CallerLimits(headerBytes = 8_192, bodyBytes = 8_388_608, headerTimeout = 3.seconds, idleTimeout = 30.seconds)
 
-        /** Binds [address] and answers with [handler]; [limits] is read anew for each connection. */
+        /** Binds [address] and passes requests to [handler]. [limits] is evaluated for each new connection. */
         fun start(
             loop: HttpEventLoop,
             scope: CoroutineScope,
@@ -102,7 +102,7 @@
                     .childOption(ChannelOption.ALLOCATOR, loop.allocator)
                     .childOption(ChannelOption.TCP_NODELAY, true)
                     .childOption(ChannelOption.SO_KEEPALIVE, true)
-                    .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_WINDOW)
+                    .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_WATER_MARK)
                     .childHandler(
                         object : ChannelInitializer<SocketChannel>() {
                             override fun initChannel(channel: SocketChannel) = state.connect(channel, limits())
@@ -113,12 +113,12 @@
 
         private const val BACKLOG = 512
 
-        /** What may wait in the process for one slow reader, in bytes, before writing is held back and taken up again. */
-        private val WRITE_WINDOW = WriteBufferWaterMark(16_384, 49_152)
+        /** The number of bytes buffered for a slow reader below which writing resumes and above which it is suspended. */
+        private val WRITE_WATER_MARK = WriteBufferWaterMark(16_384, 49_152)
     }
 }
 
-/** What all connections of a server share. */
+/** State shared by all connections of a server. */
 internal class ServerState(
     val scope: CoroutineScope,
     val dispatcher: kotlinx.coroutines.CoroutineDispatcher,
@@ -130,11 +130,11 @@
             .AtomicInteger()
 
     @Volatile
-    var retiring = false
+    var draining = false
 
-    /** Whether requests are no longer read. */
+    /** Whether further requests are refused. */
     @Volatile
-    var deaf = false
+    var readingStopped = false
 
     fun connect(
         channel: SocketChannel,
@@ -146,26 +146,26 @@
                 .setMaxHeaderSize(limits.headerBytes)
                 .setMaxChunkSize(CHUNK_BYTES)
         val connection = ServerConnection(channel, limits, this)
-        channel.pipeline().addLast(ArrivalNotice(connection), HttpServerCodec(decoder), connection)
+        channel.pipeline().addLast(ReadNotifier(connection), HttpServerCodec(decoder), connection)
     }
 
     companion object {
         const val CHUNK_BYTES = 8_192
 
-        /** How long a connection that is closed on an error still takes bytes, so that the answer isn't reset away. */
+        /** How long a connection still accepts bytes before it is closed, so that a reset doesn't discard the response. */
         val LINGER = 500.milliseconds
     }
 }
 
-/** Tells a connection of bytes before they are decoded. */
-private class ArrivalNotice(
+/** Notifies a connection of received bytes before they are decoded. */
+private class ReadNotifier(
     private val connection: ServerConnection,
 ) : ChannelInboundHandlerAdapter() {
     override fun channelRead(
         context: ChannelHandlerContext,
         message: Any,
     ) {
-        connection.bytesArrived()
+        connection.onBytesReceived()
         context.fireChannelRead(message)
     }
 }
--- a/http/src/main/kotlin/lagoonrudder/http/ServerConnection.kt
+++ b/http/src/main/kotlin/lagoonrudder/http/ServerConnection.kt
@@ -1,5 +1,5 @@
 /**
- * One caller's connection: requests are read one after the other and answered in their order.
+ * A server-side connection of a caller. Pipelined requests are processed one at a time, in order.
  */
 package lagoonrudder.http
 
@@ -41,26 +41,26 @@
     private val limits: CallerLimits,
     private val server: ServerState,
 ) : ChannelInboundHandlerAdapter() {
-    private val waiting = ArrayDeque<HttpRequest>()
+    private val pending = ArrayDeque<HttpRequest>()
     private var reading: RequestReader? = null
     private var current: ServerExchange? = null
     private var closing = false
     private var timer: NettyTimer<*>? = null
-    private var awaited = Awaited.REQUEST
+    private var awaited = AwaitedInput.REQUEST
 
     override fun channelActive(context: ChannelHandlerContext) {
         server.connections += this
-        expect(limits.idleTimeout, Awaited.REQUEST)
+        startTimeout(limits.idleTimeout, AwaitedInput.REQUEST)
     }
 
     override fun channelInactive(context: ChannelHandlerContext) {
         server.connections -= this
         timer?.cancel(false)
-        current?.callerLeft()
+        current?.onCallerDisconnected()
     }
 
     override fun channelWritabilityChanged(context: ChannelHandlerContext) {
-        if (channel.isWritable) current?.writable()
+        if (channel.isWritable) current?.onWritable()
     }
 
     @Deprecated("Netty declares this function deprecated for handlers of both directions")
@@ -84,57 +84,63 @@
         }
     }
 
-    /** Bytes have arrived, of whatever; the first ones of a request start the time for its head. */
-    fun bytesArrived() {
-        if (awaited == Awaited.REQUEST && current == null && reading == null && !closing) expect(limits.headerTimeout, Awaited.HEAD)
+    /** Called for every read. The first bytes of a request start the timeout for its head. */
+    fun onBytesReceived() {
+        if (awaited == AwaitedInput.REQUEST &&
+            current == null &&
+            reading == null &&
+            !closing
+        ) {
+            startTimeout(limits.headerTimeout, AwaitedInput.HEAD)
+        }
     }
 
-    /** Closes now when no request is being read or answered; otherwise the next answer closes. */
+    /** Closes the connection now if no request is being read or processed, otherwise after the next response. */
     fun closeWhenIdle() = onLoop { if (current == null && reading == null) channel.close() }
 
-    fun abandon() = onLoop { channel.close() }
+    fun closeNow() = onLoop { channel.close() }
 
     private fun onLoop(action: () -> Unit) {
         if (channel.eventLoop().inEventLoop()) action() else channel.eventLoop().execute(action)
     }
 
     private fun readHead(message: NettyRequest) {
-        if (server.deaf) return hangUp()
+        if (server.readingStopped) return refuseAndClose()
         val failure = message.decoderResult().cause()
         if (failure != null) return reject(statusOf(failure))
-        val twoLengths = message.headers().getAll(HttpHeaderNames.CONTENT_LENGTH).size > 1
-        val lengthAndChunks = HttpUtil.isTransferEncodingChunked(message) && message.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
+        val hasDuplicateLength = message.headers().getAll(HttpHeaderNames.CONTENT_LENGTH).size > 1
+        val hasLengthAndChunks = HttpUtil.isTransferEncodingChunked(message) && message.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
         val codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING)
-        val strangeCoding = codings.isNotEmpty() && codings.singleOrNull()?.equals("chunked", ignoreCase = true) != true
-        if (twoLengths || lengthAndChunks || strangeCoding) return reject(BAD_REQUEST)
+        val hasUnknownCoding = codings.isNotEmpty() && codings.singleOrNull()?.equals("chunked", ignoreCase = true) != true
+        if (hasDuplicateLength || hasLengthAndChunks || hasUnknownCoding) return reject(BAD_REQUEST)
         if (HttpUtil.getContentLength(message, 0L) > limits.bodyBytes) return reject(CONTENT_TOO_LARGE)
         if (HttpUtil.is100ContinueExpected(message)) {
             channel.writeAndFlush(DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE))
         }
         reading = RequestReader(message)
-        expect(limits.idleTimeout, Awaited.BODY)
+        startTimeout(limits.idleTimeout, AwaitedInput.BODY)
     }
 
     private fun readBody(content: HttpContent) {
         val request = reading ?: return
         if (content.decoderResult().isFailure) return reject(BAD_REQUEST)
-        if (!request.take(content)) return reject(CONTENT_TOO_LARGE)
-        if (content !is LastHttpContent) return expect(limits.idleTimeout, Awaited.BODY)
+        if (!request.append(content)) return reject(CONTENT_TOO_LARGE)
+        if (content !is LastHttpContent) return startTimeout(limits.idleTimeout, AwaitedInput.BODY)
         reading = null
         if (!request.keepAlive) closing = true
-        waiting.addLast(request.whole())
-        if (waiting.size >= MOST_WAITING) channel.config().isAutoRead = false
-        if (current == null) answerNext()
+        pending.addLast(request.toRequest())
+        if (pending.size >= MAX_PIPELINED) channel.config().isAutoRead = false
+        if (current == null) processNext()
     }
 
-    private fun answerNext() {
-        val request = waiting.removeFirstOrNull()
+    private fun processNext() {
+        val request = pending.removeFirstOrNull()
         if (request == null) {
-            if (closing || server.retiring) closeGently() else expect(limits.idleTimeout, Awaited.REQUEST)
+            if (closing || server.draining) closeAfterLinger() else startTimeout(limits.idleTimeout, AwaitedInput.REQUEST)
             return
         }
         channel.config().isAutoRead = true
-        awaited = Awaited.REQUEST
+        awaited = AwaitedInput.REQUEST
         timer?.cancel(false)
         val exchange = ServerExchange(request)
         current = exchange
@@ -150,48 +156,48 @@
             }
     }
 
-    private fun answered() {
+    private fun onResponseSent() {
         current = null
-        if (channel.isActive) answerNext()
+        if (channel.isActive) processNext()
     }
 
-    /** Closes without having taken the request; one that is being answered ends first. */
-    private fun hangUp() {
+    /** Closes the connection without processing the new request, but after a request in progress. */
+    private fun refuseAndClose() {
         closing = true
         if (current == null) channel.close()
     }
 
-    /** Answers a request that is not passed on, and closes. */
+    /** Responds with [status] to a request that does not reach the handler, and closes the connection. */
     private fun reject(status: Int) {
         closing = true
         reading = null
         if (current != null) return
         val response = DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status))
         response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, 0).set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE)
-        channel.writeAndFlush(response).addListener(ChannelFutureListener { closeGently() })
+        channel.writeAndFlush(response).addListener(ChannelFutureListener { closeAfterLinger() })
     }
 
-    private fun closeGently() {
+    private fun closeAfterLinger() {
         closing = true
         channel.shutdownOutput()
         timer?.cancel(false)
         timer = channel.eventLoop().schedule({ channel.close() }, ServerState.LINGER.inWholeMilliseconds, TimeUnit.MILLISECONDS)
     }
 
-    private fun expect(
-        limit: Duration,
-        awaited: Awaited,
+    private fun startTimeout(
+        timeout: Duration,
+        awaited: AwaitedInput,
     ) {
         this.awaited = awaited
         timer?.cancel(false)
-        timer = channel.eventLoop().schedule({ expired(awaited) }, limit.inWholeMilliseconds, TimeUnit.MILLISECONDS)
+        timer = channel.eventLoop().schedule({ onTimeout(awaited) }, timeout.inWholeMilliseconds, TimeUnit.MILLISECONDS)
     }
 
-    private fun expired(awaited: Awaited) {
+    private fun onTimeout(awaited: AwaitedInput) {
         when (awaited) {
-            Awaited.REQUEST -> channel.close()
-            Awaited.HEAD -> reject(REQUEST_TIMEOUT)
-            Awaited.BODY -> if (reading != null) reject(REQUEST_TIMEOUT)
+            AwaitedInput.REQUEST -> channel.close()
+            AwaitedInput.HEAD -> reject(REQUEST_TIMEOUT)
+            AwaitedInput.BODY -> if (reading != null) reject(REQUEST_TIMEOUT)
         }
     }
 
@@ -201,7 +207,7 @@
             else -> BAD_REQUEST
         }
 
-    private enum class Awaited { REQUEST, HEAD, BODY }
+    private enum class AwaitedInput { REQUEST, HEAD, BODY }
 
     private inner class RequestReader(
         message: NettyRequest,
@@ -212,14 +218,14 @@
         private val body = ByteArrayOutputStream(0)
         val keepAlive = HttpUtil.isKeepAlive(message)
 
-        fun take(content: HttpContent): Boolean {
+        fun append(content: HttpContent): Boolean {
             val size = content.content().readableBytes()
             if (body.size() + size > limits.bodyBytes) return false
             body.write(ByteBufUtil.getBytes(content.content()))
             return true
         }
 
-        fun whole() = HttpRequest(method, target, fields, body.toByteArray())
+        fun toRequest() = HttpRequest(method, target, fields, body.toByteArray())
     }
 
     private inner class ServerExchange(
@@ -234,7 +240,7 @@
             fields: List<HeaderField>,
             body: ByteArray,
         ) {
-            if (gone()) return
+            if (isClosed()) return
             val response = DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(body))
             fields.forEach { response.headers().add(it.name, it.value) }
             response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.size)
@@ -244,7 +250,7 @@
         }
 
         override suspend fun begin(head: HttpResponseHead) {
-            if (gone()) return
+            if (isClosed()) return
             val response = DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(head.status))
             head.fields.forEach { response.headers().add(it.name, it.value) }
             val length = head.length
@@ -254,14 +260,14 @@
         }
 
         override suspend fun write(bytes: ByteArray) {
-            if (gone() || bytes.isEmpty()) return
+            if (isClosed() || bytes.isEmpty()) return
             channel.writeAndFlush(DefaultHttpContent(Unpooled.wrappedBuffer(bytes)))
             if (channel.isWritable) return
             suspendCancellableCoroutine { writer = it }
         }
 
         override suspend fun end() {
-            if (gone()) return
+            if (isClosed()) return
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
             finish()
         }
@@ -272,31 +278,31 @@
             channel.close()
         }
 
-        fun writable() {
+        fun onWritable() {
             writer?.takeIf { it.isActive }?.resume(Unit)
             writer = null
         }
 
-        fun callerLeft() {
+        fun onCallerDisconnected() {
             if (!ended) job?.cancel()
         }
 
-        private fun gone() = ended || !channel.isActive
+        private fun isClosed() = ended || !channel.isActive
 
         private fun finish() {
             ended = true
-            channel.eventLoop().execute { answered() }
+            channel.eventLoop().execute { onResponseSent() }
         }
 
         private fun setConnection(response: io.netty.handler.codec.http.HttpResponse) {
-            val last = (closing && waiting.isEmpty()) || server.retiring
+            val last = (closing && pending.isEmpty()) || server.draining
             if (last) response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE)
             if (last) closing = true
         }
     }
 
     private companion object {
-        const val MOST_WAITING = 4
+        const val MAX_PIPELINED = 4
         const val BAD_REQUEST = 400
         const val REQUEST_TIMEOUT = 408
         const val CONTENT_TOO_LARGE = 413
--- a/http/src/test/kotlin/lagoonrudder/http/HttpClientTest.kt
+++ b/http/src/test/kotlin/lagoonrudder/http/HttpClientTest.kt
@@ -33,7 +33,7 @@
 
 class HttpClientTest :
     FunSpec({
-        test("a connection is used again while the server keeps it") {
+        test("a connection is reused while the server keeps it alive") {
             ScriptedServer { connection -> while (connection.readHead() != null) connection.send(OK_BODY) }.use { server ->
                 withClient { client ->
                     repeat(3) {
@@ -48,7 +48,7 @@
             }
         }
 
-        test("a connection that its server keeps for a second or less is not used again") {
+        test("a connection with a keep-alive timeout of a second is not reused") {
             ScriptedServer { connection ->
                 while (connection.readHead() !=
                     null
@@ -63,7 +63,7 @@
             }
         }
 
-        test("bytes after a whole answer belong to no request and end the connection") {
+        test("unsolicited bytes after a complete response close the connection") {
             ScriptedServer { connection ->
                 while (connection.readHead() != null) {
                     connection.send(OK_BODY)
@@ -85,7 +85,7 @@
             }
         }
 
-        test("an answer to an earlier request is skipped") {
+        test("a response to an earlier request is skipped") {
             ScriptedServer { connection ->
                 connection.readHead()
                 connection.send("HTTP/1.1 200 OK\r\nRequest-Id: old\r\nContent-Length: 4\r\n\r\nlate")
@@ -112,7 +112,7 @@
             }
         }
 
-        test("an answer without a length ends with its connection, but not with a reset") {
+        test("a response without a length ends when its connection closes, but not when it is reset") {
             ScriptedServer { connection ->
                 connection.readHead()
                 connection.send("HTTP/1.1 200 OK\r\n\r\nall")
@@ -133,48 +133,48 @@
             }.use { server -> withClient { it.fetch(server.address).leftOrNull().shouldBeInstanceOf<Failure.Interrupted>() } }
         }
 
-        test("an answer that is shorter than its length is broken") {
+        test("a response shorter than its Content-Length is reported as interrupted") {
             ScriptedServer { connection ->
                 connection.readHead()
                 connection.send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\npart")
             }.use { server -> withClient { it.fetch(server.address).leftOrNull().shouldBeInstanceOf<Failure.Interrupted>() } }
         }
 
-        test("a chunked answer that breaks off is broken") {
+        test("a truncated chunked response is reported as interrupted") {
             ScriptedServer { connection ->
                 connection.readHead()
                 connection.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n")
             }.use { server -> withClient { it.fetch(server.address).leftOrNull().shouldBeInstanceOf<Failure.Interrupted>() } }
         }
 
-        test("bytes that are no answer are broken") {
+        test("an invalid response is reported as interrupted") {
             ScriptedServer { connection ->
                 connection.readHead()
-                connection.send("garbage that is no answer\r\n\r\n")
+                connection.send("garbage that is no response\r\n\r\n")
                 connection.readRest()
             }.use { server -> withClient { it.fetch(server.address).leftOrNull().shouldBeInstanceOf<Failure.Interrupted>() } }
         }
 
-        test("an answer before the request was read is passed on") {
+        test("a response that is sent before the request was read is returned") {
             ScriptedServer { connection ->
                 connection.send("HTTP/1.1 413 Too Large\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                 connection.readRest()
             }.use { server ->
                 withClient { client ->
                     val request = HttpRequest("POST", "/", emptyList(), ByteArray(100_000))
-                    val answer = client.exchange(server.address, request, PEER, 3.seconds)
-                    // Before its request was written the connection may see the answer as belonging to none.
-                    answer.fold({ it.shouldBeInstanceOf<Failure.Interrupted>() }, { it.head.status shouldBe 413 })
+                    val response = client.exchange(server.address, request, PEER, 3.seconds)
+                    // If the response arrives before the request is written, the connection may treat it as unsolicited.
+                    response.fold({ it.shouldBeInstanceOf<Failure.Interrupted>() }, { it.head.status shouldBe 413 })
                 }
             }
         }
 
-        test("nothing is lost when the wait for an event ends just as it arrives") {
-            val pieces = 400
+        test("no event is lost when a call to next is cancelled as the event arrives") {
+            val chunks = 400
             ScriptedServer { connection ->
                 connection.readHead()
                 connection.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                repeat(pieces) {
+                repeat(chunks) {
                     connection.send("4\r\n%04d\r\n".format(it))
                     Thread.sleep(1)
                 }
@@ -188,19 +188,19 @@
                         if (event is HttpEvent.Bytes) body.append(event.data.decodeToString())
                         if (event == HttpEvent.End) break
                     }
-                    body.toString() shouldBe (0 until pieces).joinToString("") { "%04d".format(it) }
+                    body.toString() shouldBe (0 until chunks).joinToString("") { "%04d".format(it) }
                 }
             }
         }
 
-        test("no connection means that nothing was sent") {
+        test("a failure to connect is reported as unreachable") {
             val free = ServerSocket(0).use { it.localPort }
             withClient { client ->
                 client.fetch(Address("127.0.0.1", free)).leftOrNull().shouldBeInstanceOf<Failure.Unreachable>()
             }
         }
 
-        test("a silent server is given up after the limit, and its connection is closed") {
+        test("a server that does not respond times out") {
             ScriptedServer { connection -> connection.readRest() }.use { server ->
                 withClient { client ->
                     client.exchange(server.address, get(), PEER, 200.milliseconds).leftOrNull().shouldBeInstanceOf<Failure.TimedOut>()
@@ -208,7 +208,7 @@
             }
         }
 
-        test("fields go out as they were given") {
+        test("request target and header fields are sent unchanged") {
             var seen = ""
             ScriptedServer { connection ->
                 seen = connection.readHead().orEmpty()
--- a/http/src/test/kotlin/lagoonrudder/http/HttpServerTest.kt
+++ b/http/src/test/kotlin/lagoonrudder/http/HttpServerTest.kt
@@ -21,7 +21,7 @@
 
 private val LIMITS = CallerLimits(headerBytes = 1_000, bodyBytes = 100, headerTimeout = 300.milliseconds, idleTimeout = 500.milliseconds)
 
-private class Serving(
+private class TestServer(
     limits: CallerLimits = LIMITS,
     handler: HttpHandler? = null,
 ) : AutoCloseable {
@@ -43,15 +43,15 @@
     }
 }
 
-/** Runs [block] with an idle connection and a busy one, whose request is answered with "done" when the last argument completes. */
-private fun whileAnswering(block: (Serving, ScriptedConnection, ScriptedConnection, CompletableDeferred<Unit>) -> Unit) {
+/** Runs [block] with an idle connection and a busy one. The response to its request is "done", sent when the last argument completes. */
+private fun withActiveRequest(block: (TestServer, ScriptedConnection, ScriptedConnection, CompletableDeferred<Unit>) -> Unit) {
     val release = CompletableDeferred<Unit>()
     val handler =
         HttpHandler { exchange ->
             release.await()
             exchange.respond(200, emptyList(), "done".encodeToByteArray())
         }
-    Serving(LIMITS.copy(idleTimeout = 10.seconds), handler).use { serving ->
+    TestServer(LIMITS.copy(idleTimeout = 10.seconds), handler).use { serving ->
         val idle = serving.connect()
         val busy = serving.connect()
         busy.send("GET / HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -62,8 +62,8 @@
 
 class HttpServerTest :
     FunSpec({
-        test("requests on one connection are answered in their order, sent ahead or not") {
-            Serving().use { serving ->
+        test("pipelined requests on one connection are answered in order") {
+            TestServer().use { serving ->
                 val client = serving.connect()
                 client.send(
                     "GET /1 HTTP/1.1\r\nHost: a\r\n\r\nPOST /2 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\nConnection: close\r\n\r\nhi",
@@ -82,8 +82,8 @@
                 "a bad length" to "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: -2\r\n\r\n",
             )
         for ((name, bytes) in malformed) {
-            test("a request with $name is refused and nothing after it is read") {
-                Serving().use { serving ->
+            test("a request with $name is rejected and no request after it is read") {
+                TestServer().use { serving ->
                     val client = serving.connect()
                     client.send(bytes + "GET /smuggled HTTP/1.1\r\nHost: a\r\n\r\n")
                     client.readRest() shouldStartWith "HTTP/1.1 400"
@@ -92,8 +92,8 @@
             }
         }
 
-        test("a body over the limit is refused with 413 and fields over the limit with 431") {
-            Serving().use { serving ->
+        test("a body over the limit is rejected with 413 and header fields over the limit with 431") {
+            TestServer().use { serving ->
                 val body = serving.connect()
                 body.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 101\r\n\r\n")
                 body.readRest() shouldStartWith "HTTP/1.1 413"
@@ -107,16 +107,16 @@
             }
         }
 
-        test("a head that takes too long is answered with 408") {
-            Serving().use { serving ->
+        test("a request head that exceeds its timeout is rejected with 408") {
+            TestServer().use { serving ->
                 val client = serving.connect()
                 client.send("GET / HTTP/1.1\r\nHos")
                 client.readRest() shouldStartWith "HTTP/1.1 408"
             }
         }
 
-        test("a body that stops arriving is answered with 408") {
-            Serving().use { serving ->
+        test("a request body that stops arriving is rejected with 408") {
+            TestServer().use { serving ->
                 val client = serving.connect()
                 client.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nhi")
                 client.readRest() shouldStartWith "HTTP/1.1 408"
@@ -124,11 +124,11 @@
             }
         }
 
-        test("an idle connection is closed without an answer") {
-            Serving().use { serving -> serving.connect().readRest() shouldBe "" }
+        test("an idle connection is closed without a response") {
+            TestServer().use { serving -> serving.connect().readRest() shouldBe "" }
         }
 
-        test("a caller that leaves cancels the handler") {
+        test("closing the connection cancels the handler") {
             val cancelled = CompletableDeferred<Unit>()
             val handler =
                 HttpHandler {
@@ -138,7 +138,7 @@
                         cancelled.complete(Unit)
                     }
                 }
-            Serving(handler = handler).use { serving ->
+            TestServer(handler = handler).use { serving ->
                 val client = serving.connect()
                 client.send("GET / HTTP/1.1\r\nHost: a\r\n\r\n")
                 Thread.sleep(100)
@@ -147,21 +147,21 @@
             }
         }
 
-        test("an answer that is broken off can't look complete") {
+        test("an aborted response can't appear complete") {
             val handler =
                 HttpHandler { exchange ->
                     exchange.begin(HttpResponseHead(200, emptyList()))
                     exchange.write("part".encodeToByteArray())
                     exchange.abort()
                 }
-            Serving(handler = handler).use { serving ->
+            TestServer(handler = handler).use { serving ->
                 val client = serving.connect()
                 client.send("GET / HTTP/1.1\r\nHost: a\r\n\r\n")
                 client.readRest() shouldEndWith "4\r\npart\r\n"
             }
         }
 
-        test("a caller that does not read holds the writer back") {
+        test("a caller that does not read suspends the writer") {
             val written =
                 java.util.concurrent.atomic
                     .AtomicInteger()
@@ -174,7 +174,7 @@
                     }
                     exchange.end()
                 }
-            Serving(handler = handler).use { serving ->
+            TestServer(handler = handler).use { serving ->
                 val client = serving.connect()
                 client.send("GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
                 Thread.sleep(500)
@@ -183,20 +183,20 @@
             }
         }
 
-        test("a retiring server answers what is in hand, closes with notice, and closes idle connections") {
-            whileAnswering { serving, idle, busy, release ->
+        test("a draining server completes active requests with Connection: close and closes idle connections") {
+            withActiveRequest { serving, idle, busy, release ->
                 serving.server.drain()
                 idle.readRest() shouldBe ""
                 release.complete(Unit)
-                val answer = busy.readRest()
-                answer shouldStartWith "HTTP/1.1 200"
-                answer.lowercase().contains("connection: close") shouldBe true
-                answer shouldEndWith "done"
+                val response = busy.readRest()
+                response shouldStartWith "HTTP/1.1 200"
+                response.lowercase().contains("connection: close") shouldBe true
+                response shouldEndWith "done"
             }
         }
 
-        test("a server that has stopped reading ends what is in hand and takes nothing more, on no connection") {
-            whileAnswering { serving, idle, busy, release ->
+        test("a server that has stopped reading completes active requests and accepts no further request or connection") {
+            withActiveRequest { serving, idle, busy, release ->
                 serving.server.stopReading()
                 idle.readRest() shouldBe ""
                 Thread.sleep(100)
--- a/http/src/test/kotlin/lagoonrudder/http/ScriptedPeer.kt
+++ b/http/src/test/kotlin/lagoonrudder/http/ScriptedPeer.kt
@@ -8,7 +8,7 @@
 import java.util.concurrent.atomic.AtomicInteger
 import kotlin.concurrent.thread
 
-/** A server that answers each connection as its script says, byte by byte. */
+/** A server that runs [script] on each connection, which controls every byte sent. */
 internal class ScriptedServer(
     private val script: (ScriptedConnection) -> Unit,
 ) : AutoCloseable {
@@ -34,7 +34,7 @@
 ) {
     private val input: InputStream = socket.getInputStream()
 
-    /** Reads up to the blank line after a head; null when the peer closed. */
+    /** Reads up to the blank line after a head, or returns null when the peer has closed the connection. */
     fun readHead(): String? {
         val head = StringBuilder()
         while (!head.endsWith("\r\n\r\n")) {
@@ -45,7 +45,7 @@
         return head.toString()
     }
 
-    /** Reads until the peer closes. */
+    /** Reads until the peer closes the connection. */
     fun readRest(): String = input.readBytes().decodeToString()
 
     fun send(text: String) {
@@ -53,7 +53,7 @@
         socket.getOutputStream().flush()
     }
 
-    /** Resets the connection when it is closed. */
+    /** Closes the connection with a TCP reset. */
     fun reset() {
         socket.setSoLinger(true, 0)
         socket.close()
--- a/model/src/main/kotlin/lagoonrudder/model/Clock.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/Clock.kt
@@ -1,7 +1,7 @@
 /**
- * The time as the system sees it: the date for people and peers, and the monotonic time for decisions.
+ * Wall-clock time for logs and peers, and monotonic time for decisions.
  *
- * Decisions take the time as an argument or read it from a [Clock] passed in, so that tests run in virtual time.
+ * Decisions take the time as an argument or read it from an injected [Clock], so that tests can run in virtual time.
  */
 package lagoonrudder.model
 
@@ -10,14 +10,14 @@
 import kotlin.time.TimeSource
 
 interface Clock {
-    /** The wall-clock time; it may jump, and differs between processes. */
+    /** The wall-clock time, which may jump and differs between processes. */
     fun now(): Instant
 
-    /** The time since an arbitrary start of this process; it never goes back. */
+    /** The monotonic time since an arbitrary origin in this process. */
     fun elapsed(): Duration
 }
 
-/** The clock of the machine. */
+/** A [Clock] that reads the system time and the monotonic time source. */
 class SystemClock : Clock {
     private val start = TimeSource.Monotonic.markNow()
 
--- a/model/src/main/kotlin/lagoonrudder/model/Configuration.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/Configuration.kt
@@ -1,26 +1,26 @@
 /**
- * What operators publish where entry daemons send requests straight to back ends: routes by host and path, services,
- * customers with their keys, and the limits for callers.
+ * The configuration of direct mode, in which entry daemons send requests directly to back ends: routes by host and path,
+ * services, customers with their API keys, and limits for callers.
  */
 package lagoonrudder.model
 
 import kotlin.time.Duration
 
-/** What may be repeated on a route. */
+/** The retry semantics of the requests on a route. */
 sealed class RequestKind {
-    /** May run any number of times. */
+    /** A request that may run any number of times. */
     data object Idempotent : RequestKind()
 
-    /** Runs at most once for each request of a caller. */
+    /** A request that must run at most once. */
     data object AtMostOnce : RequestKind()
 
-    /** A stream of events; [maxEventGap] is the longest pause between events of an answer in time. */
+    /** A stream of events. [maxEventGap] is the maximum time between two events of a response that counts as timely. */
     data class Stream(
         val resumable: Boolean,
         val maxEventGap: Duration?,
     ) : RequestKind()
 
-    /** Whether a second back end may run the request after the first may have. */
+    /** Whether the request may be retried on another back end although the first one may have run it. */
     val retryable: Boolean
         get() =
             when (this) {
@@ -30,13 +30,16 @@
             }
 }
 
-/** A part of a route's requests, in proportion to [weight], goes to [service]. */
+/** Sends a share of the requests of a route, in proportion to [weight], to [service]. */
 data class ServiceShare(
     val service: ServiceId,
     val weight: Double,
 )
 
-/** [attempts] bounds the back ends that one request may be sent to; an empty set of [homeRegions] means every region. */
+/**
+ * A route, matched by host and path prefix. [attempts] is the maximum number of back ends to which one request may be sent.
+ * An empty set of [homeRegions] means every region.
+ */
 data class ServingRoute(
     val id: RouteId,
     val host: String,
@@ -51,7 +54,7 @@
     val homeRegions: Set<RegionId>,
 )
 
-/** How the weights of a service's models are cut into pieces. */
+/** The layout of the weights of a service's models in layers and chunks. */
 data class WeightLayout(
     val models: List<ModelId>,
     val layers: Int,
@@ -59,7 +62,7 @@
     val chunkBytes: Int,
 )
 
-/** [coldRequestsPerSecond] is what a back end bears just after its start, or null when it has no such bound. */
+/** A pool of back ends. [coldRequestsPerSecond] is the rate limit of a cold back end, or null when there is none. */
 data class ServingService(
     val id: ServiceId,
     val maxConnections: Int,
@@ -76,7 +79,7 @@
     val homeRegions: Set<RegionId>,
 )
 
-/** What a caller may send and how long it may take. */
+/** Limits on the size and duration of requests from callers. */
 data class CallerLimits(
     val headerBytes: Int,
     val bodyBytes: Int,
@@ -95,7 +98,7 @@
     private val customersByKey = customers.flatMap { customer -> customer.apiKeys.map { it to customer } }.toMap()
     private val servicesById = services.associateBy { it.id }
 
-    /** The route of [host] with the longest prefix of [path]. */
+    /** Returns the route of [host] whose prefix is the longest that matches [path]. */
     fun route(
         host: String,
         path: String,
@@ -108,14 +111,14 @@
     val requiresApiKeys: Boolean get() = customers.isNotEmpty()
 }
 
-/** The weights that a back end holds: the first [layers] layers, without a gap. */
+/** The weights that a back end holds: the first [layers] layers, without gaps. */
 data class HeldWeights(
     val model: ModelId,
     val number: WeightNumber,
     val layers: Int,
 )
 
-/** A back end as it registers itself. [born] is the wall-clock millisecond of its start; [coldFor] how long it stays cold. */
+/** The registration of a back end. [born] is its start time in epoch milliseconds, [coldFor] the time for which it stays cold. */
 data class BackEnd(
     val id: TargetId,
     val service: ServiceId,
@@ -128,18 +131,18 @@
     val weights: HeldWeights?,
 )
 
-/** One item of the platform's store after it was read. */
+/** A decoded item of the platform's key-value store. */
 sealed class StoreRecord {
     data class Configuration(
         val set: ServingConfiguration,
     ) : StoreRecord()
 
-    /** Nothing new is to be sent to back ends of [domain] while this item is there. */
+    /** While this item exists, no new requests may be sent to the back ends of [domain]. */
     data class DomainEvacuation(
         val domain: DomainId,
     ) : StoreRecord()
 
-    /** [number] is the version that back ends of [model] are to hold. */
+    /** Declares [number] as the version that the back ends of [model] must hold. */
     data class VersionDeclaration(
         val model: ModelId,
         val number: WeightNumber,
@@ -149,7 +152,7 @@
         val backEnd: BackEnd,
     ) : StoreRecord()
 
-    /** An item that says nothing usable; [detail] names what is wrong with it. */
+    /** An item that could not be decoded. [detail] names the error. */
     data class Unreadable(
         val detail: String,
     ) : StoreRecord()
--- a/model/src/main/kotlin/lagoonrudder/model/Failure.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/Failure.kt
@@ -1,11 +1,11 @@
 /**
- * Errors of the system: what went wrong, at which step, and with which peer.
+ * Failures of an operation, with the step at which they occurred and the peer involved.
  */
 package lagoonrudder.model
 
 import kotlin.time.Duration
 
-/** The step of the work at which an error arose. */
+/** The processing step at which a failure occurred. */
 enum class Step {
     READ_SETTINGS,
     READ_OBJECTS,
@@ -29,10 +29,10 @@
     DUMP,
 }
 
-/** What kind of process stands at the other end. */
+/** The kind of process at the other end of a connection. */
 enum class PeerRole { SELF, CALLER, OPERATOR, ENTRY, TARGET, ENGINE, PLATFORM, ORIGIN }
 
-/** The other end of a step: its role and, where it has one, its address or file name. */
+/** The remote party of a step. [address] is a network address, an object name or a file name. */
 data class Peer(
     val role: PeerRole,
     val address: String,
@@ -44,7 +44,7 @@
     }
 }
 
-/** A place in an operator's input; [key] is empty where the whole section is meant. */
+/** A location in a file of an operator. [key] is empty when the whole section is meant. */
 data class Location(
     val file: String,
     val section: String,
@@ -56,7 +56,7 @@
     abstract val peer: Peer
     abstract val detail: String
 
-    /** Input that can't be used: a file, an object, a message. */
+    /** Invalid operator input: a file or an object. [expected] states the rule that it violates. */
     data class Malformed(
         override val step: Step,
         override val peer: Peer,
@@ -70,21 +70,21 @@
             }
     }
 
-    /** Nothing of the request left this process. */
+    /** No bytes of the request were sent. */
     data class Unreachable(
         override val step: Step,
         override val peer: Peer,
         override val detail: String,
     ) : Failure()
 
-    /** The exchange broke after something had left this process. */
+    /** The exchange failed after part of the request may have been sent. */
     data class Interrupted(
         override val step: Step,
         override val peer: Peer,
         override val detail: String,
     ) : Failure()
 
-    /** No progress within [limit]. */
+    /** The operation did not complete within [limit]. */
     data class TimedOut(
         override val step: Step,
         override val peer: Peer,
@@ -93,20 +93,20 @@
         override val detail: String get() = "no progress within $limit"
     }
 
-    /** Bytes or a document that don't match their digest, or a message that contradicts an earlier one. */
+    /** Corrupt data: bytes that don't match their digest, an unreadable message, or one that contradicts an earlier message. */
     data class Damaged(
         override val step: Step,
         override val peer: Peer,
         override val detail: String,
     ) : Failure()
 
-    /** The peer declined, and its answer says why. */
+    /** The peer refused the operation; [detail] gives its reason. */
     data class Declined(
         override val step: Step,
         override val peer: Peer,
         override val detail: String,
     ) : Failure()
 
-    /** One line for logs and answers. */
+    /** Formats the failure as one line for logs and error responses. */
     fun describe(): String = "step=${step.name.lowercase()} peer=$peer detail=\"$detail\""
 }
--- a/model/src/main/kotlin/lagoonrudder/model/HeaderField.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/HeaderField.kt
@@ -1,5 +1,5 @@
 /**
- * A named value that travels with a request or an answer and is passed on as it is.
+ * A header field of a request or response, forwarded unchanged.
  */
 package lagoonrudder.model
 
--- a/model/src/main/kotlin/lagoonrudder/model/Ids.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/Ids.kt
@@ -1,9 +1,9 @@
 /**
- * Identifiers of the operators' objects, of processes and of requests.
+ * Identifiers of operator-defined objects, processes and requests.
  *
  * Each identifier is a value class over its text or number, so that a region can't be passed where a failure domain is
- * expected. Identifiers of operators' objects come from the operators' files; the others are made by the process that
- * the documentation of the class names.
+ * expected. Identifiers of operator-defined objects come from the operators' files; the others are created by the process
+ * that the documentation of the class names.
  */
 package lagoonrudder.model
 
@@ -47,31 +47,31 @@
     val text: String,
 )
 
-/** A daemon process, named by its settings; a replacement may carry the name of the process it replaces. */
+/** The name of a daemon, taken from its settings. A replacement process may use the name of the process that it replaces. */
 @JvmInline
 value class DaemonId(
     val text: String,
 )
 
-/** One life of a daemon or engine process, drawn at random when it starts. */
+/** One run of a daemon or engine process, generated at random when the process starts. */
 @JvmInline
 value class IncarnationId(
     val text: String,
 )
 
-/** One request of a caller, drawn at random by the entry daemon that first sees it. */
+/** A request of a caller, generated at random by the first entry daemon that receives it. */
 @JvmInline
 value class RequestId(
     val text: String,
 )
 
-/** The caller's own name for an operation that may run at most once. */
+/** The key chosen by the caller for an operation that may run at most once. */
 @JvmInline
 value class IdempotencyKey(
     val text: String,
 )
 
-/** The number of a published object set; each publication raises it by at least one. */
+/** The revision of a published object set, increased by at least one with each publication. */
 @JvmInline
 value class Revision(
     val number: Long,
@@ -91,13 +91,16 @@
     override fun compareTo(other: Digest): Int = hexadecimal.compareTo(other.hexadecimal)
 }
 
-/** The position of a chunk in its version's manifest, from zero. */
+/** The zero-based position of a chunk in the manifest of its version. */
 @JvmInline
 value class ChunkIndex(
     val number: Int,
 )
 
-/** The number that orders engine orders; an engine that checks it refuses an order whose number is not above the last. */
+/**
+ * The fencing token of an engine order. An engine that checks it refuses an order whose number is not greater than that of
+ * the last order.
+ */
 @JvmInline
 value class FencingNumber(
     val number: Long,
@@ -111,7 +114,7 @@
     val text: String,
 )
 
-/** The number of a model's weights; each publication raises it. */
+/** The version number of the weights of a model, increased with each publication. */
 @JvmInline
 value class WeightNumber(
     val number: Long,
@@ -119,7 +122,7 @@
     override fun compareTo(other: WeightNumber): Int = number.compareTo(other.number)
 }
 
-/** The position of an event in a stream; a resumed stream continues after it. */
+/** The position of an event in a stream. A resumed stream continues after it. */
 @JvmInline
 value class EventId(
     val number: Long,
--- a/model/src/main/kotlin/lagoonrudder/model/Instance.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/Instance.kt
@@ -1,9 +1,9 @@
 /**
- * Instances as the platform lists them, and the addresses of their daemons.
+ * Instances listed by the platform, and the network addresses of their daemons.
  */
 package lagoonrudder.model
 
-/** An IP number and a port. */
+/** An IP address and a port. */
 data class Address(
     val host: String,
     val port: Int,
@@ -11,19 +11,19 @@
     override fun toString(): String = "$host:$port"
 }
 
-/** Reads "host:port"; null when it is neither an IPv4 number nor a bracketed IPv6 number with a port from 1 to 65535. */
+/** Parses "host:port", or returns null unless host is an IPv4 or a bracketed IPv6 address and port is from 1 to 65535. */
 fun addressOrNull(text: String): Address? {
     val host = text.substringBeforeLast(':', "")
     val port = text.substringAfterLast(':').toIntOrNull() ?: return null
     val octets = host.split('.').map { it.toIntOrNull() }
-    val isVersion4 = octets.size == 4 && octets.all { it != null && it in 0..255 }
-    val isVersion6 = host.startsWith("[") && host.endsWith("]") && host.drop(1).dropLast(1).matches(Regex("[0-9a-fA-F:.]+"))
-    return if ((isVersion4 || isVersion6) && port in 1..65_535) Address(host, port) else null
+    val isIpv4 = octets.size == 4 && octets.all { it != null && it in 0..255 }
+    val isIpv6 = host.startsWith("[") && host.endsWith("]") && host.drop(1).dropLast(1).matches(Regex("[0-9a-fA-F:.]+"))
+    return if ((isIpv4 || isIpv6) && port in 1..65_535) Address(host, port) else null
 }
 
 enum class DaemonRole { ENTRY, TARGET }
 
-/** One line of the platform's lagging list. [target] is set for target daemons only. */
+/** An entry of the platform's instance list, which lags behind the actual state. [target] is set for target daemons only. */
 data class Instance(
     val daemon: DaemonId,
     val role: DaemonRole,
--- a/model/src/main/kotlin/lagoonrudder/model/Invariant.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/Invariant.kt
@@ -1,7 +1,7 @@
 /**
- * Invariants that the program asserts about itself while it runs.
+ * Invariants checked at run time.
  *
- * A violation is counted and reported to a listener; in production the listener logs it, in tests it fails the run.
+ * A violation is counted and reported to a listener, which logs it in production and fails the run in tests.
  */
 package lagoonrudder.model
 
@@ -30,16 +30,16 @@
     val detail: String,
 )
 
-/** Counts violations and hands each to [listener], which may be called from any thread. */
+/** Counts violations and passes each one to [listener], which may be called from any thread. */
 class Invariants(
     private val listener: (Violation) -> Unit,
 ) {
     private val counts = ConcurrentHashMap<Invariant, AtomicLong>()
 
-    /** The number of violations of [invariant] since the start. */
+    /** The number of violations of [invariant] since this process started. */
     fun count(invariant: Invariant): Long = counts[invariant]?.get() ?: 0
 
-    /** The number of violations of any invariant since the start. */
+    /** The number of violations of all invariants since this process started. */
     fun total(): Long = counts.values.sumOf { it.get() }
 
     fun check(
--- a/model/src/main/kotlin/lagoonrudder/model/ObjectSet.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/ObjectSet.kt
@@ -1,11 +1,11 @@
 /**
- * A whole set of operators' objects, its digest, and the difference between two sets.
+ * A complete set of operator-defined objects, its digest, and the difference between two sets.
  */
 package lagoonrudder.model
 
 import java.security.MessageDigest
 
-/** An immutable set of objects with look-ups by id. Two sets with the same objects have the same [digest]. */
+/** An immutable set of objects with lookups by id. Two sets with equal objects have the same [digest]. */
 class ObjectSet(
     objects: Iterable<OperatorObject>,
 ) {
@@ -21,12 +21,12 @@
     val targets: Map<TargetId, OperatorObject.Target> = select<OperatorObject.Target>().associateBy { it.id }
     val routes: Map<RouteId, OperatorObject.Route> = select<OperatorObject.Route>().associateBy { it.id }
 
-    /** The targets of each fleet, in the order of their names. */
+    /** The targets of each fleet, sorted by name. */
     val targetsOf: Map<FleetId, List<OperatorObject.Target>> = targets.values.groupBy { it.fleet }
 
     val customersByToken: Map<String, OperatorObject.Customer> = customers.values.associateBy { it.token }
 
-    /** The routes, longest path first, so that the first match is the most specific. */
+    /** The routes sorted by descending path length, so that the first match is the most specific. */
     private val routesByPath = routes.values.sortedByDescending { it.path.length }
 
     val digest: Digest by lazy {
@@ -35,18 +35,18 @@
         Digest(sum.digest().toHexString())
     }
 
-    /** The route whose path is the longest prefix of [path] that ends at a slash or at the end. */
+    /** Returns the route with the longest path that is a prefix of [path] in whole path segments. */
     fun routeFor(path: String): OperatorObject.Route? =
         routesByPath.firstOrNull { path == it.path || path.startsWith(it.path.trimEnd('/') + "/") }
 
-    /** Whether operators let new work reach [target]: it and its failure domain are in service. */
+    /** Whether [target] may receive new work: operators have put both it and its failure domain in service. */
     fun inService(target: OperatorObject.Target): Boolean =
         target.service == AdminState.IN && domains[target.domain]?.service == AdminState.IN
 
-    /** The region of [domain], or null when the set has no such domain. */
+    /** Returns the region of [domain], or null when the set has no such domain. */
     fun regionOf(domain: DomainId): RegionId? = domains[domain]?.region
 
-    /** The link between two regions, in either order. */
+    /** Returns the link between two regions, which may be given in either order. */
     fun link(
         one: RegionId,
         other: RegionId,
@@ -66,7 +66,7 @@
     }
 }
 
-/** What turns one set into another. */
+/** The difference between two sets. */
 data class ObjectChanges(
     val changed: List<OperatorObject>,
     val removed: List<ObjectKey>,
@@ -74,7 +74,7 @@
     val isEmpty: Boolean get() = changed.isEmpty() && removed.isEmpty()
 }
 
-/** The changes that turn [from] into [to]. */
+/** Returns the changes that turn [from] into [to]. */
 fun changesBetween(
     from: ObjectSet,
     to: ObjectSet,
@@ -84,7 +84,7 @@
         removed = from.byKey.keys.filter { it !in to.byKey },
     )
 
-/** A checked set with its revision: what is in force in a process. */
+/** A validated object set with its revision, as applied by a process. */
 class ConfigurationSnapshot(
     val revision: Revision,
     val objects: ObjectSet,
@@ -96,7 +96,7 @@
     }
 }
 
-/** Sealed changes: from [base] to [revision], whose whole set has [digest]. */
+/** The changes from [base] to [revision]. The complete set at [revision] has [digest]. */
 data class ConfigurationDelta(
     val base: Revision,
     val baseDigest: Digest,
--- a/model/src/main/kotlin/lagoonrudder/model/ObjectSetBuilder.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/ObjectSetBuilder.kt
@@ -1,5 +1,5 @@
 /**
- * A small builder for object sets, for tests, samples and measurements.
+ * A builder DSL for object sets in tests, samples and benchmarks.
  */
 package lagoonrudder.model
 
@@ -9,7 +9,7 @@
 @DslMarker
 annotation class ObjectSetDsl
 
-/** Builds a set; the result is not checked. */
+/** Builds an object set without validating it. */
 fun objectSet(build: ObjectSetBuilder.() -> Unit): ObjectSet = ObjectSet(ObjectSetBuilder().apply(build).objects)
 
 @ObjectSetDsl
--- a/model/src/main/kotlin/lagoonrudder/model/Objects.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/Objects.kt
@@ -1,8 +1,8 @@
 /**
  * The objects that operators publish.
  *
- * Every object has a kind and a name that is unique within its kind. The fields of an object are listed by [fields] in a
- * fixed order; this listing is the canonical form that digests are taken over and files are written from.
+ * Every object has a kind and a name that is unique within its kind. [fields] lists the fields of an object in a fixed
+ * order. This list is the canonical form, from which digests are computed and files are written.
  */
 package lagoonrudder.model
 
@@ -39,7 +39,7 @@
     val value: String,
 )
 
-/** Whether operators have taken a failure domain or a target out of service. */
+/** The administrative state of a failure domain or target: in service, or taken out of service by operators. */
 enum class AdminState { IN, OUT }
 
 enum class FleetKind { ENGINE, PLAIN }
@@ -50,10 +50,10 @@
     /** The fields in canonical order. */
     abstract fun fields(): List<Field>
 
-    /** The digest of the canonical form, computed once. */
+    /** The digest of the canonical form, computed on first use. */
     val digest: ByteArray by lazy { sha256(canonicalText(this).encodeToByteArray()) }
 
-    /** A region; [origin] tells whether the origin of weights stands in it. */
+    /** A region. [origin] tells whether the weight origin is located in it. */
     data class Region(
         val id: RegionId,
         val origin: Boolean,
@@ -63,7 +63,7 @@
         override fun fields() = listOf(Field("origin", if (origin) "yes" else "no"))
     }
 
-    /** The link between two regions; [bytesPerSecond] holds for each direction and for all traffic together. */
+    /** The link between two regions. [bytesPerSecond] is its bandwidth in each direction, shared by all traffic. */
     data class Link(
         val name: String,
         val first: RegionId,
@@ -94,7 +94,7 @@
             )
     }
 
-    /** A customer, its access token, and its share of the queue relative to the other customers' weights. */
+    /** A customer with its access token. [weight] is its share of the queue relative to the weights of other customers. */
     data class Customer(
         val id: CustomerId,
         val token: String,
@@ -117,7 +117,7 @@
         override fun fields() = emptyList<Field>()
     }
 
-    /** Weights of a model: [manifest] is the digest of the list of chunk digests; an adapter names its [base]. */
+    /** A version of the weights of a model. [manifest] is the digest of the list of chunk digests; an adapter names its [base]. */
     data class Version(
         val id: VersionId,
         val model: ModelId,
@@ -141,8 +141,9 @@
     }
 
     /**
-     * Targets that serve the same thing. While a switch is under way answers of [replaces] are right too. [floor] is the
-     * share of the fleet's targets, from 0 to 1, that must stay in service during a switch.
+     * A group of targets that serve the same model version or plain service. During a version switch, responses from
+     * [replaces] are valid too. [floor] is the fraction of the targets, from 0 to 1, that must stay in service during a
+     * switch.
      */
     data class Fleet(
         val id: FleetId,
@@ -161,13 +162,13 @@
                 Field("floor", floor.toString()),
             )
 
-        /** Whether an answer from [served] is a right answer of this fleet. */
+        /** Whether a response from version [served] is valid for this fleet. */
         fun accepts(served: VersionId?): Boolean = served == version || (replaces != null && served == replaces)
     }
 
     /**
-     * A slot for one instance. [weightBytes] is what its engine can hold of weights, [memoryTokens] what it can hold of
-     * prompts and answers, [requests] the most requests at once that a warm instance bears.
+     * A slot for one instance. [weightBytes] is the capacity of its engine for weights, [memoryTokens] its capacity for
+     * tokens of prompts and responses, and [requests] the maximum number of concurrent requests of a warm instance.
      */
     data class Target(
         val id: TargetId,
@@ -191,7 +192,7 @@
             )
     }
 
-    /** A path prefix that callers use. Requests of a route that is not [idempotent] run at most once. */
+    /** A path prefix for requests of callers. Requests on a route that is not [idempotent] run at most once. */
     data class Route(
         val id: RouteId,
         val path: String,
@@ -215,7 +216,7 @@
     }
 }
 
-/** The canonical text of one object: its section header and one line for each field. */
+/** Returns the canonical text of an object: its section header and one line per field. */
 fun canonicalText(value: OperatorObject): String =
     buildString {
         append('[').append(value.key).append("]\n")
@@ -224,5 +225,5 @@
 
 internal fun sha256(bytes: ByteArray): ByteArray = MessageDigest.getInstance("SHA-256").digest(bytes)
 
-/** The SHA-256 digest of [bytes]. */
+/** Returns the SHA-256 digest of [bytes]. */
 fun digestOf(bytes: ByteArray): Digest = Digest(sha256(bytes).toHexString())
--- a/model/src/main/kotlin/lagoonrudder/model/Outcome.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/Outcome.kt
@@ -1,14 +1,14 @@
 /**
- * How a request ends, and the refusals that are always true.
+ * The outcomes of a request and the reasons for which it is refused.
  *
- * A [Refusal] states that the request did not run and will not run. Whatever can't be proved not to have run is
- * [Outcome.Unknown], and an answer that broke after its start is [Outcome.Broken].
+ * A [Refusal] guarantees that the request did not run and will not run. When this can't be guaranteed, the outcome is
+ * [Outcome.Unknown]. A response that failed after its start is [Outcome.Broken].
  */
 package lagoonrudder.model
 
 import kotlin.time.Duration
 
-/** Why a request was not run. [retryAfter] is when a repeat may succeed, or null when it won't without a change. */
+/** Why a request was not run. [retryAfter] is the delay before a retry may succeed, or null when retrying is useless. */
 sealed class Refusal {
     abstract val retryAfter: Duration?
 
@@ -20,7 +20,7 @@
         override val retryAfter = null
     }
 
-    /** The request lacks something it needs, such as the key of a request that may run at most once. */
+    /** A required part of the request is missing or invalid, such as the key of a request that may run at most once. */
     data class Invalid(
         val expected: String,
     ) : Refusal() {
@@ -32,28 +32,28 @@
         override val retryAfter: Duration,
     ) : Refusal()
 
-    /** The request can't end before its deadline. */
+    /** The request can't complete before its deadline. */
     data class TooLate(
         override val retryAfter: Duration,
     ) : Refusal()
 
-    /** The process or its target is leaving, starting or switching. */
+    /** The process or its target is shutting down, starting or switching versions. */
     data class NotServing(
         override val retryAfter: Duration,
         val reason: String,
     ) : Refusal()
 
-    /** No target that could serve the request can be reached. */
+    /** No target that can serve the request is reachable. */
     data class NoTarget(
         override val retryAfter: Duration,
     ) : Refusal()
 
-    /** The target holds other weights than the request asks for. */
+    /** The target holds a different version of the weights than the request requires. */
     data class WrongVersion(
         override val retryAfter: Duration,
     ) : Refusal()
 
-    /** The stable name of the refusal in answers, logs and metrics. */
+    /** The stable name of the refusal in responses, logs and metrics. */
     val code: String
         get() =
             when (this) {
@@ -69,7 +69,7 @@
 }
 
 sealed class Outcome {
-    /** The whole answer was handed on: [length] bytes served by [version] (null for a plain service). */
+    /** The complete response was forwarded: [length] bytes from [version], which is null for a plain service. */
     data class Completed(
         val length: Long,
         val version: VersionId?,
@@ -82,12 +82,12 @@
         val peer: Peer,
     ) : Outcome()
 
-    /** The request may or may not have run; nothing of an answer was handed on. */
+    /** The request may or may not have run, and no part of a response was forwarded. */
     data class Unknown(
         val failure: Failure,
     ) : Outcome()
 
-    /** Part of the answer was handed on and the rest can't be had. */
+    /** Part of the response was forwarded and the rest is not available. */
     data class Broken(
         val failure: Failure,
     ) : Outcome()
--- a/model/src/main/kotlin/lagoonrudder/model/RendezvousHash.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/RendezvousHash.kt
@@ -1,7 +1,7 @@
 /**
- * Rendezvous hashing: every process that knows the same candidates ranks them in the same order for a subject.
+ * Rendezvous hashing: every process that knows the same nodes ranks them in the same order for a key.
  *
- * When a candidate goes, only the subjects it ranked first for move, each to its own second choice.
+ * When a node is removed, only the keys for which it ranked first move, each to its second-ranked node.
  */
 package lagoonrudder.model
 
@@ -10,35 +10,35 @@
 private const val MIX_FIRST = -4658895280553007687L
 private const val MIX_SECOND = -7723592293110705685L
 
-/** The score of [candidate] for [subject]; the same in every process. */
+/** Returns the score of [node] for [key], which is the same in every process. */
 fun rendezvousScore(
-    subject: String,
-    candidate: String,
+    key: String,
+    node: String,
 ): Long {
     var hash = FNV_OFFSET
-    for (character in subject) hash = (hash xor character.code.toLong()) * FNV_PRIME
+    for (character in key) hash = (hash xor character.code.toLong()) * FNV_PRIME
     hash = (hash xor SEPARATOR) * FNV_PRIME
-    for (character in candidate) hash = (hash xor character.code.toLong()) * FNV_PRIME
+    for (character in node) hash = (hash xor character.code.toLong()) * FNV_PRIME
     return mix(hash)
 }
 
-/** [candidates] from the highest score for [subject] to the lowest. */
+/** Returns [nodes] sorted by descending score for [key]. */
 fun <T> rendezvousOrder(
-    subject: String,
-    candidates: Collection<T>,
+    key: String,
+    nodes: Collection<T>,
     name: (T) -> String,
 ): List<T> =
-    candidates
-        .map { it to rendezvousScore(subject, name(it)) }
+    nodes
+        .map { it to rendezvousScore(key, name(it)) }
         .sortedWith(compareByDescending<Pair<T, Long>> { it.second }.thenBy { name(it.first) })
         .map { it.first }
 
-/** The candidate with the highest score for [subject], or null when there is none. */
+/** Returns the node with the highest score for [key], or null when [nodes] is empty. */
 fun <T> rendezvousFirst(
-    subject: String,
-    candidates: Collection<T>,
+    key: String,
+    nodes: Collection<T>,
     name: (T) -> String,
-): T? = candidates.maxWithOrNull(compareBy<T> { rendezvousScore(subject, name(it)) }.thenByDescending { name(it) })
+): T? = nodes.maxWithOrNull(compareBy<T> { rendezvousScore(key, name(it)) }.thenByDescending { name(it) })
 
 private const val SEPARATOR = 0x1FL
 
--- a/model/src/test/kotlin/lagoonrudder/model/ObjectCheckTest.kt
+++ b/model/src/test/kotlin/lagoonrudder/model/ObjectCheckTest.kt
@@ -22,36 +22,36 @@
 
 class ObjectCheckTest :
     FunSpec({
-        test("a whole set passes") { findings { } shouldBe emptyList() }
+        test("a valid set has no findings") { findings { } shouldBe emptyList() }
 
-        test("a dangling reference is found by section and key") {
+        test("a dangling reference is reported with its section and key") {
             findings { domain("west", region = "nowhere") } shouldBe listOf("domain west/region")
             findings { target("worker-2", "nothing", "ost") } shouldBe listOf("target worker-2/fleet")
         }
 
-        test("two customers with one token and two routes with one path are found") {
+        test("duplicate tokens of customers and duplicate paths of routes are reported") {
             findings { customer("wien", token = "token-tirol") } shouldContain "customer wien/token"
             findings { route("scoring", "/v1/dossier", "workers") } shouldContain "route scoring/path"
         }
 
-        test("fallbacks and bases that return to themselves are found") {
-            val loops =
+        test("cycles of fallbacks and of bases are reported") {
+            val cycles =
                 findings {
                     route("one", "/one", "workers", fallback = "two")
                     route("two", "/two", "workers", fallback = "one")
                 }
-            loops shouldBe listOf("route one/fallback", "route two/fallback")
+            cycles shouldBe listOf("route one/fallback", "route two/fallback")
             findings { version("loop", "assistant", base = "loop") } shouldBe listOf("version loop/base")
         }
 
-        test("a route whose fleet has no target is found") {
+        test("a route whose fleet has no targets is reported") {
             findings {
                 plainFleet("ledger")
                 route("fees", "/fees", "ledger", deadline = 2.seconds)
             } shouldBe listOf("route fees/fleet")
         }
 
-        test("a version that does not fit a target's memory is found") {
+        test("a version that exceeds the weight memory of a target is reported") {
             findings {
                 version("large", "assistant", bytes = 100)
                 engineFleet("large-workers", "large")
@@ -60,7 +60,7 @@
             } shouldBe listOf("target small/weight-bytes")
         }
 
-        test("the most specific route serves a path, and no route serves a path that only begins alike") {
+        test("the most specific route matches, and a path prefix matches only whole segments") {
             val objects =
                 objectSet {
                     base()
@@ -71,7 +71,7 @@
             objects.routeFor("/v1/dossiers") shouldBe null
         }
 
-        test("changes between two sets lead from one to the other") {
+        test("applying the changes between two sets yields the other set") {
             val before = objectSet { base() }
             val after =
                 objectSet {
