--- a/cli/src/main/kotlin/lagoonrudder/cli/ObjectCommands.kt
+++ b/cli/src/main/kotlin/lagoonrudder/cli/ObjectCommands.kt
@@ -11,11 +11,11 @@
 import kotlinx.cli.Subcommand
 import kotlinx.cli.required
 import lagoonrudder.model.AdminState
-import lagoonrudder.model.ConfigurationSnapshot
 import lagoonrudder.model.Digest
 import lagoonrudder.model.ObjectKey
 import lagoonrudder.model.ObjectKind
 import lagoonrudder.model.ObjectSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
@@ -111,8 +111,8 @@
 
     override fun run() {
         val objects = readOrReport(file) ?: return
-        val last = before?.let { readSealed(it) } ?: ConfigurationSnapshot.EMPTY
-        val sealed = seal(ConfigurationSnapshot(Revision(revision.toLong()), objects), last, file)
+        val last = before?.let { readSealed(it) } ?: ObjectSnapshot.EMPTY
+        val sealed = seal(ObjectSnapshot(Revision(revision.toLong()), objects), last, file)
         val document = sealed.getOrElse { return console.fail(it.detail, EXIT_FINDINGS) }
         val folder = File(out).apply { mkdirs() }
         document.parts.forEach { File(folder, partKey(it.digest)).writeText(it.text) }
@@ -121,7 +121,7 @@
         console.print("publish the files part-* first and the file $HEAD_KEY last")
     }
 
-    private fun readSealed(folder: String): ConfigurationSnapshot {
+    private fun readSealed(folder: String): ObjectSnapshot {
         val peer = Peer(PeerRole.OPERATOR, folder)
         val head = readHead(textOf("$folder/$HEAD_KEY"), peer).getOrElse { throw UnreadableFile(it.detail) }
         val parts = head.parts.associateWith { digest: Digest -> textOf("$folder/${partKey(digest)}") }
--- a/control/src/main/kotlin/lagoonrudder/control/ConfigurationController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/ConfigurationController.kt
@@ -7,12 +7,12 @@
  */
 package lagoonrudder.control
 
-import lagoonrudder.model.ConfigurationDelta
-import lagoonrudder.model.ConfigurationSnapshot
 import lagoonrudder.model.Digest
 import lagoonrudder.model.Invariant
 import lagoonrudder.model.Invariants
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Revision
+import lagoonrudder.model.SnapshotDelta
 import lagoonrudder.model.Step
 import kotlin.time.Duration
 
@@ -20,8 +20,8 @@
 sealed class ConfigurationOutcome {
     /** The set is in force; [changes] led to it from the one before. */
     data class Accepted(
-        val set: ConfigurationSnapshot,
-        val changes: ConfigurationDelta,
+        val set: ObjectSnapshot,
+        val changes: SnapshotDelta,
         val replacedTwin: Boolean,
     ) : ConfigurationOutcome()
 
@@ -51,18 +51,18 @@
 
 /** A set in force and the process-local time at which it came into force. */
 data class ForcedSet(
-    val set: ConfigurationSnapshot,
+    val set: ObjectSnapshot,
     val since: Duration,
 )
 
 class ConfigurationController(
     private val invariants: Invariants,
 ) {
-    var current: ConfigurationSnapshot = ConfigurationSnapshot.EMPTY
+    var current: ObjectSnapshot = ObjectSnapshot.EMPTY
         private set
     var confirmation: Confirmation = Confirmation.Pending(Duration.ZERO, Duration.INFINITE)
         private set
-    private val recent = ArrayDeque<ConfigurationDelta>()
+    private val recent = ArrayDeque<SnapshotDelta>()
     private var alarms = 0
     private var rejections = 0
 
@@ -87,7 +87,7 @@
     fun changesSince(
         base: Revision,
         baseDigest: Digest,
-    ): ConfigurationDelta? = recent.firstOrNull { it.base == base && it.baseDigest == baseDigest && it.revision == current.revision }
+    ): SnapshotDelta? = recent.firstOrNull { it.base == base && it.baseDigest == baseDigest && it.revision == current.revision }
 
     /** Starts to ask peers and the platform; new work waits until [confirm] or [limit] has passed. */
     fun suspectStale(
@@ -146,7 +146,7 @@
         return ConfigurationOutcome.Accepted(set, offered.changes, replacedTwin)
     }
 
-    private fun remember(changes: ConfigurationDelta) {
+    private fun remember(changes: SnapshotDelta) {
         val extended = recent.map { join(it, changes) }
         recent.clear()
         recent.addAll(extended)
@@ -158,9 +158,9 @@
     }
 
     private fun join(
-        first: ConfigurationDelta,
-        second: ConfigurationDelta,
-    ): ConfigurationDelta {
+        first: SnapshotDelta,
+        second: SnapshotDelta,
+    ): SnapshotDelta {
         val changed = first.changes.changed.associateBy { it.key } - second.changes.removed.toSet()
         val removed =
             first.changes.removed.toSet() -
--- a/control/src/main/kotlin/lagoonrudder/control/direct/PublicationController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/PublicationController.kt
@@ -225,13 +225,7 @@
         for (change in applied) {
             when (val published = change.published) {
                 is StoreRecord.Configuration -> next = newer(published.set, next)
-                is StoreRecord.BackEndRegistration ->
-                    if (register(published.backEnd)) {
-                        joined += published.backEnd
-                    } else {
-                        changed +=
-                            published.backEnd
-                    }
+                is StoreRecord.Registered -> if (register(published.backEnd)) joined += published.backEnd else changed += published.backEnd
                 is StoreRecord.VersionDeclaration -> declare(published, now, first)?.let { declared += it }
                 is StoreRecord.Unreadable -> unusable += "${change.item.key}: ${published.detail}"
                 is StoreRecord.DomainEvacuation, null -> Unit
@@ -265,7 +259,7 @@
         change: ReadItem,
         mayLapse: Boolean,
     ): TargetId? {
-        if (change.published is StoreRecord.BackEndRegistration) return null
+        if (change.published is StoreRecord.Registered) return null
         val id = backEndsById.keys.firstOrNull { change.item.key.endsWith("/${it.text}") } ?: return null
         if (mayLapse && change.item.value == null) {
             lapsing[id] = Lapse(change.item, disturbedUntil)
--- a/control/src/test/kotlin/lagoonrudder/control/ConfigurationControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/ConfigurationControllerTest.kt
@@ -4,8 +4,8 @@
 import io.kotest.core.spec.style.FunSpec
 import io.kotest.matchers.shouldBe
 import io.kotest.matchers.types.shouldBeInstanceOf
-import lagoonrudder.model.ConfigurationSnapshot
 import lagoonrudder.model.ObjectSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Revision
 import lagoonrudder.model.objectSet
 import kotlin.random.Random
@@ -18,7 +18,7 @@
     revision: Long,
     objects: ObjectSet,
 ): ConfigurationOutcome {
-    val checked = CheckedSet.ofWhole(ConfigurationSnapshot(Revision(revision), objects), current, somePeer)
+    val checked = CheckedSet.ofWhole(ObjectSnapshot(Revision(revision), objects), current, somePeer)
     return offer(checked.getOrElse { error(it.describe()) })
 }
 
@@ -45,7 +45,7 @@
 
         test("a set that fails the check is not even offered") {
             val broken = objectSet { domain("ost", region = "nowhere") }
-            CheckedSet.ofWhole(ConfigurationSnapshot(Revision(1), broken), ConfigurationSnapshot.EMPTY, somePeer).isLeft() shouldBe true
+            CheckedSet.ofWhole(ObjectSnapshot(Revision(1), broken), ObjectSnapshot.EMPTY, somePeer).isLeft() shouldBe true
         }
 
         test("changes whose digest does not fit are damaged") {
@@ -62,7 +62,7 @@
         test("changes over several revisions lead from any recent set to the one in force") {
             val random = Random(11)
             val controller = ConfigurationController(strictInvariants())
-            val history = mutableListOf<ConfigurationSnapshot>()
+            val history = mutableListOf<ObjectSnapshot>()
             for (revision in 1L..30L) {
                 controller.offerWhole(revision, objectsWith(random.nextInt(1, 12)))
                 history += controller.current
@@ -75,7 +75,7 @@
 
         test("a check against a set that was replaced meanwhile is made again") {
             val controller = ConfigurationController(strictInvariants())
-            val checked = CheckedSet.ofWhole(ConfigurationSnapshot(Revision(2), objectsWith(1)), controller.current, somePeer).getOrNull()!!
+            val checked = CheckedSet.ofWhole(ObjectSnapshot(Revision(2), objectsWith(1)), controller.current, somePeer).getOrNull()!!
             controller.offerWhole(1, objectsWith(2))
             controller.offer(checked) shouldBe ConfigurationOutcome.BaseMoved
         }
--- a/control/src/test/kotlin/lagoonrudder/control/direct/DirectFixtures.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/direct/DirectFixtures.kt
@@ -75,7 +75,7 @@
         priority = 1,
         attempts = 2,
         shares = listOf(ServiceShare(ENGINES, 1.0)),
-        isPublic = true,
+        open = true,
         homeRegions = emptySet(),
     )
 
@@ -88,7 +88,7 @@
 internal fun registered(
     backEnd: BackEnd,
     revision: Long,
-) = item("servers/${backEnd.id.text}", revision, StoreRecord.BackEndRegistration(backEnd))
+) = item("servers/${backEnd.id.text}", revision, StoreRecord.Registered(backEnd))
 
 internal fun peer(
     name: String,
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationLoop.kt
@@ -17,16 +17,16 @@
 import lagoonrudder.control.startsFrom
 import lagoonrudder.daemon.DaemonCore
 import lagoonrudder.model.Address
-import lagoonrudder.model.ConfigurationDelta
-import lagoonrudder.model.ConfigurationSnapshot
 import lagoonrudder.model.DaemonId
 import lagoonrudder.model.DaemonRole
 import lagoonrudder.model.Digest
 import lagoonrudder.model.Failure
 import lagoonrudder.model.Instance
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Revision
+import lagoonrudder.model.SnapshotDelta
 import lagoonrudder.wire.documents.SealedHead
 import lagoonrudder.wire.documents.readHead
 import lagoonrudder.wire.documents.readParts
@@ -112,8 +112,8 @@
 
     /** What this process has and what a peer lacks of it. */
     private data class Known(
-        val set: ConfigurationSnapshot,
-        val changes: ConfigurationDelta?,
+        val set: ObjectSnapshot,
+        val changes: SnapshotDelta?,
         val instances: InstanceChanges?,
     )
 
@@ -128,14 +128,14 @@
     )
 
     private fun isNewer(
-        current: ConfigurationSnapshot,
+        current: ObjectSnapshot,
         revision: Revision,
         digest: Digest,
     ): Boolean = current.revision > revision || (current.revision == revision && revision > Revision.NONE && current.digest > digest)
 
     private fun offerMessage(
-        current: ConfigurationSnapshot,
-        changes: ConfigurationDelta?,
+        current: ObjectSnapshot,
+        changes: SnapshotDelta?,
     ): OfferMessage {
         val sender = core.settings.name.text
         return if (changes == null) OfferMessage(sender, true, writeWhole(current)) else OfferMessage(sender, false, writeChanges(changes))
@@ -228,7 +228,7 @@
 
     /** Offers changes; false when the whole set is needed. */
     private suspend fun offerChanges(
-        changes: ConfigurationDelta,
+        changes: SnapshotDelta,
         peer: Peer,
     ): Boolean {
         val current = core.thread.decide { core.configuration.current }
@@ -243,7 +243,7 @@
     }
 
     private suspend fun offerWhole(
-        offered: ConfigurationSnapshot,
+        offered: ObjectSnapshot,
         peer: Peer,
     ) {
         val current = core.thread.decide { core.configuration.current }
@@ -305,7 +305,7 @@
     private suspend fun pass(
         child: Instance,
         message: OfferMessage,
-        set: ConfigurationSnapshot,
+        set: ObjectSnapshot,
     ) {
         val reply = core.rpc.offer(child.address, message, OFFER_LIMIT)
         val wholeNeeded = reply.fold({ unheard(child.daemon, it) }, { it.wholeNeeded })
@@ -379,7 +379,7 @@
     private suspend fun takeReply(
         reply: ExchangeAnswer,
         address: Address,
-        own: ConfigurationSnapshot,
+        own: ObjectSnapshot,
     ) {
         reply.instances?.let { changes -> core.thread.decide { if (core.membership.apply(changes)) changed() } }
         val offer = reply.offer
--- a/http/src/main/kotlin/lagoonrudder/http/HttpClient.kt
+++ b/http/src/main/kotlin/lagoonrudder/http/HttpClient.kt
@@ -65,11 +65,7 @@
         matches: (HttpResponseHead) -> Boolean = { true },
     ): Either<Failure, HttpCall> {
         val connection = takeIdle(address, maxIdleTime) ?: open(address)
-        if (connection == null ||
-            !connection.isReusable
-        ) {
-            return Failure.Unreachable(Step.CONNECT, peer, "could not connect to $address").left()
-        }
+        if (connection == null || !connection.reusable) return Failure.Unreachable(Step.CONNECT, peer, "no connection to $address").left()
         return connection.send(request, matches) { release(address, it) }.right()
     }
 
@@ -115,16 +111,7 @@
                 HttpEvent.End -> return HttpResponse(checkNotNull(head), body.toByteArray()).right()
                 is HttpEvent.Broken -> return Failure.Interrupted(Step.SEND, peer, event.detail).left()
             }
-            if (body.size() >
-                maxBytes
-            ) {
-                return Failure
-                    .Damaged(
-                        Step.SEND,
-                        peer,
-                        "response body of at least ${body.size()} bytes exceeds the limit of $maxBytes bytes",
-                    ).left()
-            }
+            if (body.size() > maxBytes) return Failure.Damaged(Step.SEND, peer, "response body exceeds $maxBytes bytes").left()
         }
     }
 
@@ -137,7 +124,7 @@
         while (true) {
             val last = kept.removeLastOrNull() ?: return null
             val age = now - last.since
-            if (last.connection.isReusable && age < minOf(last.connection.keepAlive, maxIdleTime)) return last.connection
+            if (last.connection.reusable && age < minOf(last.connection.keepAlive, maxIdleTime)) return last.connection
             last.connection.close()
         }
     }
@@ -153,22 +140,22 @@
     }
 
     private suspend fun open(address: Address): HttpConnection? {
-        var connection: HttpConnection? = null
+        var created: HttpConnection? = null
         val initializer =
             object : ChannelInitializer<SocketChannel>() {
                 override fun initChannel(channel: SocketChannel) {
-                    val created = HttpConnection(channel, address)
-                    connection = created
-                    channel.pipeline().addLast(HttpClientCodec(), created)
+                    val connection = HttpConnection(channel, address)
+                    created = connection
+                    channel.pipeline().addLast(HttpClientCodec(), connection)
                 }
             }
-        val channel =
+        val connected =
             bootstrap
                 .clone()
                 .handler(initializer)
                 .connect(address.host, address.port)
                 .awaitConnected()
-        return if (channel != null) connection else null
+        return if (connected != null) created else null
     }
 
     private suspend fun ChannelFuture.awaitConnected(): Channel? =
--- a/http/src/main/kotlin/lagoonrudder/http/HttpConnection.kt
+++ b/http/src/main/kotlin/lagoonrudder/http/HttpConnection.kt
@@ -66,7 +66,7 @@
         private set
 
     /** Whether another request may be sent on this connection. */
-    val isReusable: Boolean get() = call == null && !closed && channel.isActive
+    val reusable: Boolean get() = call == null && !closed && channel.isActive
 
     /** Sends [request]. A response whose head [matches] rejects is skipped, because it belongs to an earlier request. */
     fun send(
--- a/http/src/main/kotlin/lagoonrudder/http/ServerConnection.kt
+++ b/http/src/main/kotlin/lagoonrudder/http/ServerConnection.kt
@@ -46,11 +46,11 @@
     private var current: ServerExchange? = null
     private var closing = false
     private var timer: NettyTimer<*>? = null
-    private var awaited = AwaitedInput.REQUEST
+    private var awaited = Awaited.REQUEST
 
     override fun channelActive(context: ChannelHandlerContext) {
         server.connections += this
-        startTimeout(limits.idleTimeout, AwaitedInput.REQUEST)
+        startTimer(limits.idleTimeout, Awaited.REQUEST)
     }
 
     override fun channelInactive(context: ChannelHandlerContext) {
@@ -86,13 +86,7 @@
 
     /** Called for every read. The first bytes of a request start the timeout for its head. */
     fun onBytesReceived() {
-        if (awaited == AwaitedInput.REQUEST &&
-            current == null &&
-            reading == null &&
-            !closing
-        ) {
-            startTimeout(limits.headerTimeout, AwaitedInput.HEAD)
-        }
+        if (awaited == Awaited.REQUEST && current == null && reading == null && !closing) startTimer(limits.headerTimeout, Awaited.HEAD)
     }
 
     /** Closes the connection now if no request is being read or processed, otherwise after the next response. */
@@ -118,14 +112,14 @@
             channel.writeAndFlush(DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE))
         }
         reading = RequestReader(message)
-        startTimeout(limits.idleTimeout, AwaitedInput.BODY)
+        startTimer(limits.idleTimeout, Awaited.BODY)
     }
 
     private fun readBody(content: HttpContent) {
         val request = reading ?: return
         if (content.decoderResult().isFailure) return reject(BAD_REQUEST)
         if (!request.append(content)) return reject(CONTENT_TOO_LARGE)
-        if (content !is LastHttpContent) return startTimeout(limits.idleTimeout, AwaitedInput.BODY)
+        if (content !is LastHttpContent) return startTimer(limits.idleTimeout, Awaited.BODY)
         reading = null
         if (!request.keepAlive) closing = true
         pending.addLast(request.toRequest())
@@ -136,11 +130,11 @@
     private fun processNext() {
         val request = pending.removeFirstOrNull()
         if (request == null) {
-            if (closing || server.draining) closeAfterLinger() else startTimeout(limits.idleTimeout, AwaitedInput.REQUEST)
+            if (closing || server.draining) closeAfterLinger() else startTimer(limits.idleTimeout, Awaited.REQUEST)
             return
         }
         channel.config().isAutoRead = true
-        awaited = AwaitedInput.REQUEST
+        awaited = Awaited.REQUEST
         timer?.cancel(false)
         val exchange = ServerExchange(request)
         current = exchange
@@ -161,7 +155,7 @@
         if (channel.isActive) processNext()
     }
 
-    /** Closes the connection without processing the new request, but after a request in progress. */
+    /** Closes the connection without processing the new request. A request in progress runs to completion first. */
     private fun refuseAndClose() {
         closing = true
         if (current == null) channel.close()
@@ -184,20 +178,20 @@
         timer = channel.eventLoop().schedule({ channel.close() }, ServerState.LINGER.inWholeMilliseconds, TimeUnit.MILLISECONDS)
     }
 
-    private fun startTimeout(
+    private fun startTimer(
         timeout: Duration,
-        awaited: AwaitedInput,
+        awaited: Awaited,
     ) {
         this.awaited = awaited
         timer?.cancel(false)
         timer = channel.eventLoop().schedule({ onTimeout(awaited) }, timeout.inWholeMilliseconds, TimeUnit.MILLISECONDS)
     }
 
-    private fun onTimeout(awaited: AwaitedInput) {
+    private fun onTimeout(awaited: Awaited) {
         when (awaited) {
-            AwaitedInput.REQUEST -> channel.close()
-            AwaitedInput.HEAD -> reject(REQUEST_TIMEOUT)
-            AwaitedInput.BODY -> if (reading != null) reject(REQUEST_TIMEOUT)
+            Awaited.REQUEST -> channel.close()
+            Awaited.HEAD -> reject(REQUEST_TIMEOUT)
+            Awaited.BODY -> if (reading != null) reject(REQUEST_TIMEOUT)
         }
     }
 
@@ -207,7 +201,7 @@
             else -> BAD_REQUEST
         }
 
-    private enum class AwaitedInput { REQUEST, HEAD, BODY }
+    private enum class Awaited { REQUEST, HEAD, BODY }
 
     private inner class RequestReader(
         message: NettyRequest,
--- a/http/src/test/kotlin/lagoonrudder/http/HttpClientTest.kt
+++ b/http/src/test/kotlin/lagoonrudder/http/HttpClientTest.kt
@@ -150,7 +150,7 @@
         test("an invalid response is reported as interrupted") {
             ScriptedServer { connection ->
                 connection.readHead()
-                connection.send("garbage that is no response\r\n\r\n")
+                connection.send("garbage that is no answer\r\n\r\n")
                 connection.readRest()
             }.use { server -> withClient { it.fetch(server.address).leftOrNull().shouldBeInstanceOf<Failure.Interrupted>() } }
         }
--- a/model/src/main/kotlin/lagoonrudder/model/Configuration.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/Configuration.kt
@@ -50,7 +50,7 @@
     val priority: Int,
     val attempts: Int,
     val shares: List<ServiceShare>,
-    val isPublic: Boolean,
+    val open: Boolean,
     val homeRegions: Set<RegionId>,
 )
 
@@ -148,7 +148,7 @@
         val number: WeightNumber,
     ) : StoreRecord()
 
-    data class BackEndRegistration(
+    data class Registered(
         val backEnd: BackEnd,
     ) : StoreRecord()
 
--- a/model/src/main/kotlin/lagoonrudder/model/ObjectCheck.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/ObjectCheck.kt
@@ -136,11 +136,8 @@
         field: String,
         selector: (T) -> String,
     ) {
-        for ((_, duplicates) in values.groupBy(selector)) {
-            duplicates
-                .drop(
-                    1,
-                ).forEach { report(it.key, field, "expected a unique value, found the same value in [${duplicates.first().key}]") }
+        for ((_, group) in values.groupBy(selector)) {
+            group.drop(1).forEach { report(it.key, field, "expected a unique value, found the same value in [${group.first().key}]") }
         }
     }
 
--- a/model/src/main/kotlin/lagoonrudder/model/ObjectSet.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/ObjectSet.kt
@@ -85,19 +85,19 @@
     )
 
 /** A validated object set with its revision, as applied by a process. */
-class ConfigurationSnapshot(
+class ObjectSnapshot(
     val revision: Revision,
     val objects: ObjectSet,
 ) {
     val digest: Digest get() = objects.digest
 
     companion object {
-        val EMPTY = ConfigurationSnapshot(Revision.NONE, ObjectSet.EMPTY)
+        val EMPTY = ObjectSnapshot(Revision.NONE, ObjectSet.EMPTY)
     }
 }
 
 /** The changes from [base] to [revision]. The complete set at [revision] has [digest]. */
-data class ConfigurationDelta(
+data class SnapshotDelta(
     val base: Revision,
     val baseDigest: Digest,
     val revision: Revision,
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/Site.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/Site.kt
@@ -18,13 +18,13 @@
 import lagoonrudder.daemon.settings.PlatformSettings
 import lagoonrudder.daemon.settings.SlotSettings
 import lagoonrudder.model.Address
-import lagoonrudder.model.ConfigurationSnapshot
 import lagoonrudder.model.DaemonId
 import lagoonrudder.model.DaemonRole
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.FleetKind
 import lagoonrudder.model.Instance
 import lagoonrudder.model.ObjectSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Revision
 import lagoonrudder.model.TargetId
@@ -66,7 +66,7 @@
     fun publish(objects: ObjectSet): Revision {
         objects.versions.values.forEach { origin.publish(it.id.text, SyntheticWeights(it.id.text, it.bytes, it.chunkBytes)) }
         val revision = Revision(platform.published().revision.number + 1)
-        platform.publish(ConfigurationSnapshot(revision, objects))
+        platform.publish(ObjectSnapshot(revision, objects))
         return revision
     }
 
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ControlMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ControlMeasure.kt
@@ -21,8 +21,6 @@
 import lagoonrudder.control.TargetReport
 import lagoonrudder.control.Waiting
 import lagoonrudder.control.startsFrom
-import lagoonrudder.model.ConfigurationDelta
-import lagoonrudder.model.ConfigurationSnapshot
 import lagoonrudder.model.CustomerId
 import lagoonrudder.model.DaemonId
 import lagoonrudder.model.DomainId
@@ -31,11 +29,13 @@
 import lagoonrudder.model.Invariants
 import lagoonrudder.model.ObjectChanges
 import lagoonrudder.model.ObjectSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
+import lagoonrudder.model.SnapshotDelta
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.objectSet
 import lagoonrudder.wire.documents.writeChanges
@@ -122,7 +122,7 @@
     val routing = RoutingController("entry-1", DomainId("d0"), ChoicePolicy.FreshRoom(), Random(1))
     val before = usedMemory()
     controller.offer(
-        CheckedSet.ofWhole(ConfigurationSnapshot(Revision(1), objects), controller.current, peer).getOrElse {
+        CheckedSet.ofWhole(ObjectSnapshot(Revision(1), objects), controller.current, peer).getOrElse {
             error(it.describe())
         },
     )
@@ -156,16 +156,16 @@
 }
 
 private fun change(
-    set: ConfigurationSnapshot,
+    set: ObjectSnapshot,
     number: Int,
-): ConfigurationDelta {
+): SnapshotDelta {
     val target =
         set.objects.targets.values
             .elementAt(number * 31 % set.objects.targets.size)
     val changed: OperatorObject = target.copy(requests = target.requests + 1)
     val changes = ObjectChanges(listOf(changed), emptyList())
     val next = set.objects.plus(changes)
-    return ConfigurationDelta(set.revision, set.digest, Revision(set.revision.number + 1), next.digest, changes)
+    return SnapshotDelta(set.revision, set.digest, Revision(set.revision.number + 1), next.digest, changes)
 }
 
 private fun usedMemory(): Long {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
@@ -41,7 +41,6 @@
 import lagoonrudder.daemon.front.CompletionDecoder
 import lagoonrudder.model.Address
 import lagoonrudder.model.Clock
-import lagoonrudder.model.ConfigurationSnapshot
 import lagoonrudder.model.DaemonId
 import lagoonrudder.model.DaemonRole
 import lagoonrudder.model.DomainId
@@ -49,6 +48,7 @@
 import lagoonrudder.model.Instance
 import lagoonrudder.model.Invariants
 import lagoonrudder.model.ObjectSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.Peer
@@ -274,7 +274,7 @@
 
     private fun configureAll(hears: (String) -> Boolean = { true }) {
         generation++
-        val set = ConfigurationSnapshot(revision, objects)
+        val set = ObjectSnapshot(revision, objects)
         val instances = instances()
         for (target in targets.values) {
             if (!hears(target.id.text)) continue
@@ -292,7 +292,7 @@
 
     private fun offer(
         configuration: ConfigurationController,
-        set: ConfigurationSnapshot,
+        set: ObjectSnapshot,
     ) {
         CheckedSet.ofWhole(set, configuration.current, PEER).fold({ error(it.describe()) }, { configuration.offer(it) })
         configuration.confirm()
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/ProcessTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/ProcessTest.kt
@@ -12,11 +12,11 @@
 import kotlinx.coroutines.delay
 import lagoonrudder.daemon.platform.httpClient
 import lagoonrudder.model.Address
-import lagoonrudder.model.ConfigurationSnapshot
 import lagoonrudder.model.DaemonId
 import lagoonrudder.model.DaemonRole
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.Instance
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Revision
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.objectSet
@@ -54,7 +54,7 @@
     val proxy = FaultProxy { Address(LOOPBACK, targetPorts.getValue("a")) }
 
     init {
-        platform.publish(ConfigurationSnapshot(Revision(1), objects))
+        platform.publish(ObjectSnapshot(Revision(1), objects))
         engines.keys.forEach(::startTarget)
         startEntry()
     }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectFilters.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectFilters.kt
@@ -67,14 +67,14 @@
         val request = call.request
         val route = serving.route(request.host, request.path.substringBefore('?')) ?: return Refusal.UnknownRoute
         val customer = request.key?.let { serving.customerByApiKey(it) }
-        if (serving.requiresApiKeys && !route.isPublic && customer == null) return Refusal.UnknownCustomer
+        if (serving.requiresApiKeys && !route.open && customer == null) return Refusal.UnknownCustomer
         val service = pick(route) ?: return Refusal.NoTarget(RETRY_AFTER)
         val limit = request.timeLeft?.let { minOf(route.timeout, it) } ?: route.timeout
         call.identify(
             DirectIdentity(
                 revision = serving.revision,
                 route = route,
-                customer = customer.takeUnless { route.isPublic },
+                customer = customer.takeUnless { route.open },
                 service = service,
                 endsAt = call.receivedAt + limit,
                 priority = customer?.priority ?: route.priority,
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdentifyFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdentifyFilter.kt
@@ -11,8 +11,8 @@
 import lagoonrudder.control.ServiceState
 import lagoonrudder.control.refusal
 import lagoonrudder.model.Clock
-import lagoonrudder.model.ConfigurationSnapshot
 import lagoonrudder.model.FleetKind
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.Peer
@@ -49,7 +49,7 @@
         )
     }
 
-    private fun openSet(): Either<Refusal, ConfigurationSnapshot> {
+    private fun openSet(): Either<Refusal, ObjectSnapshot> {
         val set = control.configuration.current
         val now = clock.elapsed()
         val confirmed = control.configuration.mayServe(now) && !control.service.wasPaused(now)
@@ -61,7 +61,7 @@
 
     private fun identify(
         call: EntryCall,
-        set: ConfigurationSnapshot,
+        set: ObjectSnapshot,
     ): Either<Refusal, Identity> =
         either {
             val route = set.objects.routeFor(call.caller.path) ?: raise(Refusal.UnknownRoute)
--- a/traffic/src/test/kotlin/lagoonrudder/traffic/direct/DirectSendFilterTest.kt
+++ b/traffic/src/test/kotlin/lagoonrudder/traffic/direct/DirectSendFilterTest.kt
@@ -225,7 +225,7 @@
                 index,
                 each,
                 ->
-                ReadItem(StoreItem("servers/${each.id.text}", index + 2L, ByteArray(0)), StoreRecord.BackEndRegistration(each))
+                ReadItem(StoreItem("servers/${each.id.text}", index + 2L, ByteArray(0)), StoreRecord.Registered(each))
             }
         publication.take(items + ReadItem(StoreItem("op/config", 1, ByteArray(0)), StoreRecord.Configuration(set)), 9, Duration.ZERO)
     }
--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/SealedDocument.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/SealedDocument.kt
@@ -13,17 +13,17 @@
 import arrow.core.raise.either
 import arrow.core.raise.ensure
 import arrow.core.right
-import lagoonrudder.model.ConfigurationDelta
-import lagoonrudder.model.ConfigurationSnapshot
 import lagoonrudder.model.Digest
 import lagoonrudder.model.Failure
 import lagoonrudder.model.MAXIMUM_PART_BYTES
 import lagoonrudder.model.ObjectChanges
 import lagoonrudder.model.ObjectKey
 import lagoonrudder.model.ObjectSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Peer
 import lagoonrudder.model.Revision
+import lagoonrudder.model.SnapshotDelta
 import lagoonrudder.model.Step
 import lagoonrudder.model.canonicalText
 import lagoonrudder.model.changesBetween
@@ -46,7 +46,7 @@
     val revision: Revision,
     val digest: Digest,
     val parts: List<Digest>,
-    val changes: ConfigurationDelta?,
+    val changes: SnapshotDelta?,
 )
 
 /** What the tool publishes: write the parts first, the head last. */
@@ -57,8 +57,8 @@
 
 /** Seals [set] as the successor of [before]. Fails when the revision doesn't rise or an object exceeds a part. */
 fun seal(
-    set: ConfigurationSnapshot,
-    before: ConfigurationSnapshot,
+    set: ObjectSnapshot,
+    before: ObjectSnapshot,
     file: String,
 ): Either<Failure.Malformed, SealedDocument> =
     either {
@@ -71,11 +71,11 @@
     }
 
 /** The text that carries [changes] alone, for peers. */
-fun writeChanges(changes: ConfigurationDelta): String =
+fun writeChanges(changes: SnapshotDelta): String =
     headText(changes.revision, changes.digest, emptyList(), changes) + writeObjects(changes.changes.changed)
 
 /** The text that carries the whole of [set], for peers. */
-fun writeWhole(set: ConfigurationSnapshot): String =
+fun writeWhole(set: ObjectSnapshot): String =
     headText(set.revision, set.digest, listOf(set.digest), null) + writeObjects(set.objects.byKey.values)
 
 /** Reads a head from the platform or changes from a peer; objects in it belong to its changes. */
@@ -95,27 +95,27 @@
     head: SealedHead,
     parts: Map<Digest, String>,
     peer: Peer,
-): Either<Failure, ConfigurationSnapshot> =
+): Either<Failure, ObjectSnapshot> =
     either {
         val texts = head.parts.map { parts[it] ?: raise(damaged(peer, "part ${it.hexadecimal} is missing")) }
         for ((digest, text) in head.parts.zip(texts)) {
             ensure(digestOf(text.encodeToByteArray()) == digest) { damaged(peer, "part ${digest.hexadecimal} doesn't match its digest") }
         }
         val objects = readObjects(texts.joinToString("\n"), peer.toString()).mapLeft { it.first() }.bind()
-        verified(ConfigurationSnapshot(head.revision, objects), head.digest, peer).bind()
+        verified(ObjectSnapshot(head.revision, objects), head.digest, peer).bind()
     }
 
 /** Reads a whole set that a peer sent as one text. */
 fun readWhole(
     text: String,
     peer: Peer,
-): Either<Failure, ConfigurationSnapshot> =
+): Either<Failure, ObjectSnapshot> =
     either {
         val sections = readIni(text, peer.toString(), Step.VERIFY_SEAL).bind()
         val sealed = sections.firstOrNull { it.name == SEALED } ?: raise(damaged(peer, "no section [$SEALED]"))
         val objects = readSections(sections - sealed).mapLeft { it.first() }.bind()
         val head = readSealed(sealed, emptyList())
-        verified(ConfigurationSnapshot(head.revision, ObjectSet(objects)), head.digest, peer).bind()
+        verified(ObjectSnapshot(head.revision, ObjectSet(objects)), head.digest, peer).bind()
     }
 
 private const val SEALED = "sealed"
@@ -125,17 +125,10 @@
 private const val LARGEST_CHANGES = 400_000
 
 private fun verified(
-    set: ConfigurationSnapshot,
+    set: ObjectSnapshot,
     digest: Digest,
     peer: Peer,
-): Either<Failure, ConfigurationSnapshot> =
-    if (set.digest ==
-        digest
-    ) {
-        set.right()
-    } else {
-        damaged(peer, "the set doesn't match its digest").left()
-    }
+): Either<Failure, ObjectSnapshot> = if (set.digest == digest) set.right() else damaged(peer, "the set doesn't match its digest").left()
 
 private fun damaged(
     peer: Peer,
@@ -167,11 +160,11 @@
 }
 
 private fun writeHead(
-    set: ConfigurationSnapshot,
+    set: ObjectSnapshot,
     parts: List<Digest>,
-    before: ConfigurationSnapshot,
+    before: ObjectSnapshot,
 ): String {
-    val changes = ConfigurationDelta(before.revision, before.digest, set.revision, set.digest, changesBetween(before.objects, set.objects))
+    val changes = SnapshotDelta(before.revision, before.digest, set.revision, set.digest, changesBetween(before.objects, set.objects))
     val objects = writeObjects(changes.changes.changed)
     val small = before.revision > Revision.NONE && objects.length <= LARGEST_CHANGES
     val head = headText(set.revision, set.digest, parts, changes.takeIf { small })
@@ -182,7 +175,7 @@
     revision: Revision,
     digest: Digest,
     parts: List<Digest>,
-    changes: ConfigurationDelta?,
+    changes: SnapshotDelta?,
 ): String =
     buildString {
         append("[$SEALED]\n")
@@ -216,7 +209,7 @@
         nothingElse()
         val changes =
             if (base != null && baseDigest != null) {
-                ConfigurationDelta(base, baseDigest, revision, digest, ObjectChanges(objects, removed))
+                SnapshotDelta(base, baseDigest, revision, digest, ObjectChanges(objects, removed))
             } else {
                 null
             }
--- a/wire/src/test/kotlin/lagoonrudder/wire/ObjectTextTest.kt
+++ b/wire/src/test/kotlin/lagoonrudder/wire/ObjectTextTest.kt
@@ -8,8 +8,8 @@
 import io.kotest.property.arbitrary.string
 import io.kotest.property.checkAll
 import lagoonrudder.model.AdminState
-import lagoonrudder.model.ConfigurationSnapshot
 import lagoonrudder.model.ObjectSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Revision
@@ -87,8 +87,8 @@
         }
 
         test("a sealed document leads a reader without and with the set before to the same set") {
-            val before = ConfigurationSnapshot(Revision(3), objects())
-            val after = ConfigurationSnapshot(Revision(4), objects(customers = 5, out = true))
+            val before = ObjectSnapshot(Revision(3), objects())
+            val after = ObjectSnapshot(Revision(4), objects(customers = 5, out = true))
             val document = checkNotNull(seal(after, before, "objects.ini").getOrNull())
             val head = checkNotNull(readHead(document.head, peer).getOrNull())
             readParts(head, document.parts.associate { it.digest to it.text }, peer).getOrNull()?.digest shouldBe after.digest
@@ -99,13 +99,13 @@
         }
 
         test("a revision that does not rise is not sealed") {
-            val set = ConfigurationSnapshot(Revision(3), objects())
+            val set = ObjectSnapshot(Revision(3), objects())
             seal(set, set, "objects.ini").leftOrNull()?.detail.orEmpty() shouldContain "above 3"
         }
 
         test("a part with a wrong byte, a missing part and a whole set with a wrong byte are refused") {
-            val set = ConfigurationSnapshot(Revision(1), objects())
-            val document = checkNotNull(seal(set, ConfigurationSnapshot.EMPTY, "objects.ini").getOrNull())
+            val set = ObjectSnapshot(Revision(1), objects())
+            val document = checkNotNull(seal(set, ObjectSnapshot.EMPTY, "objects.ini").getOrNull())
             val head = checkNotNull(readHead(document.head, peer).getOrNull())
             val parts = document.parts.associate { it.digest to it.text }
             readParts(head, parts.mapValues { it.value.replace("customer-1", "customer-9") }, peer).isLeft() shouldBe true
@@ -114,8 +114,8 @@
         }
 
         test("a large set is cut into parts under a megabyte") {
-            val set = ConfigurationSnapshot(Revision(1), objects(customers = 20_000))
-            val parts = checkNotNull(seal(set, ConfigurationSnapshot.EMPTY, "objects.ini").getOrNull()).parts
+            val set = ObjectSnapshot(Revision(1), objects(customers = 20_000))
+            val parts = checkNotNull(seal(set, ObjectSnapshot.EMPTY, "objects.ini").getOrNull()).parts
             (parts.size > 1) shouldBe true
             parts.all { it.text.length < 1_000_000 } shouldBe true
         }
