--- a/cli/src/main/kotlin/lagoonrudder/cli/ObjectCommands.kt
+++ b/cli/src/main/kotlin/lagoonrudder/cli/ObjectCommands.kt
@@ -59,9 +59,9 @@
         try {
             run()
         } catch (unreadable: UnreadableFile) {
-            console.fail(unreadable.line, EXIT_WRONG_INPUT)
+            console.fail(unreadable.line, EXIT_INVALID_INPUT)
         } catch (unreadable: IOException) {
-            console.fail("cannot read or write: ${unreadable.message}", EXIT_WRONG_INPUT)
+            console.fail("cannot read or write: ${unreadable.message}", EXIT_INVALID_INPUT)
         }
     }
 
@@ -70,7 +70,7 @@
     /** Reads a file of objects; its findings are printed and null is returned when it has any. */
     protected fun readOrReport(file: String): ObjectSet? {
         val read = readObjects(textOf(file), file)
-        val checked = read.fold({ findings -> return report(findings.map { it.detail }, EXIT_WRONG_INPUT) }, { checkObjects(it, file) })
+        val checked = read.fold({ findings -> return report(findings.map { it.detail }, EXIT_INVALID_INPUT) }, { checkObjects(it, file) })
         return checked.getOrElse { findings -> report(findings.map { it.detail }, EXIT_FINDINGS) }
     }
 
@@ -171,7 +171,7 @@
         val objects = readOrReport(file) ?: return
         val found =
             objects.routes[RouteId(route)]
-                ?: return console.fail("file $file: expected a section [route $route], found none", EXIT_WRONG_INPUT)
+                ?: return console.fail("file $file: expected a section [route $route], found none", EXIT_INVALID_INPUT)
         val fleet = objects.fleets.getValue(found.fleet)
         val repeats = if (found.idempotent) "may be repeated" else "at most once, by the caller's Idempotency-Key"
         console.print(
@@ -204,7 +204,7 @@
             when (val value = wanted?.let { objects.byKey[ObjectKey(it, id)] }) {
                 is OperatorObject.Domain -> value.copy(service = service)
                 is OperatorObject.Target -> value.copy(service = service)
-                else -> return console.fail("file $file: expected a section [domain $id] or [target $id], found none", EXIT_WRONG_INPUT)
+                else -> return console.fail("file $file: expected a section [domain $id] or [target $id], found none", EXIT_INVALID_INPUT)
             }
         val next = objects.byKey.values.map { if (it.key == changed.key) changed else it }
         File(file).writeText(writeObjects(next))
@@ -220,7 +220,7 @@
     private val out by option(ArgType.String, "out", description = "file to write the manifest to").required()
 
     override fun run() {
-        if (chunkBytes <= 0) return console.fail("option chunk-bytes: expected a number above 0", EXIT_WRONG_INPUT)
+        if (chunkBytes <= 0) return console.fail("option chunk-bytes: expected a number above 0", EXIT_INVALID_INPUT)
         val digests = mutableListOf<String>()
         File(weights).inputStream().use { input ->
             while (true) {
--- a/control/src/main/kotlin/lagoonrudder/control/ServiceController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/ServiceController.kt
@@ -38,7 +38,7 @@
     val drained = CompletableDeferred<Unit>()
 
     /** The process was told to stop: no new work from now on. */
-    fun leave() {
+    fun beginShutdown() {
         leaving = true
         completeWhenDrained()
     }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/entry/EntryDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/entry/EntryDaemon.kt
@@ -81,7 +81,7 @@
 
     override suspend fun stop() {
         core.log.info("leaving", "in-hand" to core.thread.decide { core.service.inHand() })
-        core.thread.decide { core.service.leave() }
+        core.thread.decide { core.service.beginShutdown() }
         core.service.drained.await()
         core.log.info("stopped")
         close()
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
@@ -84,11 +84,11 @@
     override suspend fun stop() {
         core.log.info("leaving", "in-hand" to core.thread.decide { core.service.inHand() })
         core.thread.decide {
-            core.service.leave()
+            core.service.beginShutdown()
             control.publish()
         }
         core.service.drained.await()
-        rpcServer?.leave()
+        rpcServer?.beginShutdown()
         delay(LAST_ANSWERS)
         core.log.info("stopped")
         close()
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ControlMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ControlMeasure.kt
@@ -39,7 +39,7 @@
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.objectSet
 import lagoonrudder.wire.documents.writeChanges
-import lagoonrudder.wire.documents.writeWhole
+import lagoonrudder.wire.documents.writeSet
 import kotlin.random.Random
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -150,7 +150,7 @@
         add("put-in-force-on-thread", on)
         add("spread-on-thread", tree)
         add("change-bytes", bytes)
-        add("whole-bytes", writeWhole(controller.current).length)
+        add("whole-bytes", writeSet(controller.current).length)
         add("state-megabytes", (usedMemory() - before) / 1e6)
     }
 }
--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/SealedDocument.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/SealedDocument.kt
@@ -75,7 +75,7 @@
     headText(changes.revision, changes.digest, emptyList(), changes) + writeObjects(changes.changes.changed)
 
 /** The text that carries the whole of [set], for peers. */
-fun writeWhole(set: ObjectSnapshot): String =
+fun writeSet(set: ObjectSnapshot): String =
     headText(set.revision, set.digest, listOf(set.digest), null) + writeObjects(set.objects.byKey.values)
 
 /** Reads a head from the platform or changes from a peer; objects in it belong to its changes. */
@@ -102,11 +102,11 @@
             ensure(digestOf(text.encodeToByteArray()) == digest) { damaged(peer, "part ${digest.hexadecimal} doesn't match its digest") }
         }
         val objects = readObjects(texts.joinToString("\n"), peer.toString()).mapLeft { it.first() }.bind()
-        verified(ObjectSnapshot(head.revision, objects), head.digest, peer).bind()
+        verifyDigest(ObjectSnapshot(head.revision, objects), head.digest, peer).bind()
     }
 
 /** Reads a whole set that a peer sent as one text. */
-fun readWhole(
+fun readSet(
     text: String,
     peer: Peer,
 ): Either<Failure, ObjectSnapshot> =
@@ -115,16 +115,16 @@
         val sealed = sections.firstOrNull { it.name == SEALED } ?: raise(damaged(peer, "no section [$SEALED]"))
         val objects = readSections(sections - sealed).mapLeft { it.first() }.bind()
         val head = readSealed(sealed, emptyList())
-        verified(ObjectSnapshot(head.revision, ObjectSet(objects)), head.digest, peer).bind()
+        verifyDigest(ObjectSnapshot(head.revision, ObjectSet(objects)), head.digest, peer).bind()
     }
 
 private const val SEALED = "sealed"
 
 /** Room that a part leaves for the keys of the configuration service. */
-private const val PART_BYTES = MAXIMUM_PART_BYTES - 10_000
-private const val LARGEST_CHANGES = 400_000
+private const val MAX_PART_TEXT_BYTES = MAXIMUM_PART_BYTES - 10_000
+private const val MAX_CHANGES_BYTES = 400_000
 
-private fun verified(
+private fun verifyDigest(
     set: ObjectSnapshot,
     digest: Digest,
     peer: Peer,
@@ -150,9 +150,9 @@
     for (value in objects.byKey.values) {
         val canonical = canonicalText(value) + "\n"
         ensure(
-            canonical.length <= PART_BYTES,
-        ) { section.malformed(value.key.toString(), "expected an object of at most $PART_BYTES bytes") }
-        if (text.length + canonical.length > PART_BYTES) close()
+            canonical.length <= MAX_PART_TEXT_BYTES,
+        ) { section.malformed(value.key.toString(), "expected an object of at most $MAX_PART_TEXT_BYTES bytes") }
+        if (text.length + canonical.length > MAX_PART_TEXT_BYTES) close()
         text.append(canonical)
     }
     close()
@@ -166,7 +166,7 @@
 ): String {
     val changes = SnapshotDelta(before.revision, before.digest, set.revision, set.digest, changesBetween(before.objects, set.objects))
     val objects = writeObjects(changes.changes.changed)
-    val small = before.revision > Revision.NONE && objects.length <= LARGEST_CHANGES
+    val small = before.revision > Revision.NONE && objects.length <= MAX_CHANGES_BYTES
     val head = headText(set.revision, set.digest, parts, changes.takeIf { small })
     return if (small) head + objects else head
 }
@@ -206,7 +206,7 @@
         val base = optionalText("base")?.let { Revision(long("base")) }
         val baseDigest = optionalText("base-digest")?.let(::Digest)
         val removed = readRemoved(section)
-        nothingElse()
+        rejectUnknownKeys()
         val changes =
             if (base != null && baseDigest != null) {
                 SnapshotDelta(base, baseDigest, revision, digest, ObjectChanges(objects, removed))
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/Mapping.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/Mapping.kt
@@ -96,16 +96,16 @@
     }
 
 fun EventMessage.toEvent(): RunEvent {
-    notRun?.let { return RunEvent.NotRun(it.toRefusal(), it.room?.toRoom()) }
+    notRun?.let { return RunEvent.NotRun(it.toRefusal(), it.room?.toTargetLoad()) }
     head?.let { return RunEvent.Head(RequestId(it.request), it.attempt, versionOrNull(it.version), it.status, it.contentType) }
     bytes?.let { return RunEvent.Bytes(it.offset, it.data, it.checksum) }
-    end?.let { return RunEvent.End(it.length, it.checksum, it.room?.toRoom()) }
+    end?.let { return RunEvent.End(it.length, it.checksum, it.room?.toTargetLoad()) }
     malformed("an event without content")
 }
 
-fun Room.toMessage() = RoomMessage(limit, inFlight, freeTokens)
+fun Room.toMessage() = TargetLoadMessage(limit, inFlight, freeTokens)
 
-fun RoomMessage.toRoom() = Room(limit, inFlight, freeTokens)
+fun TargetLoadMessage.toTargetLoad() = Room(limit, inFlight, freeTokens)
 
 fun Refusal.toMessage(room: Room? = null): RefusalMessage {
     val detail =
@@ -142,22 +142,22 @@
         is RepeatDecision.Permitted -> ReserveReply(permit = permit)
         is RepeatDecision.Uncertain -> ReserveReply(uncertain = detail)
         is RepeatDecision.Refused -> ReserveReply(refused = refusal.toMessage())
-        is RepeatDecision.RanBefore -> ReserveReply(ranBefore = recorded(answer))
+        is RepeatDecision.RanBefore -> ReserveReply(alreadyRan = recorded(answer))
         is RepeatDecision.AskOwners -> ReserveReply(uncertain = "earlier owners were not asked")
     }
 
-private fun recorded(answer: RecordedAnswer?): RecordedMessage =
-    if (answer == null) RecordedMessage() else RecordedMessage(true, answer.status, answer.contentType, answer.body)
+private fun recorded(answer: RecordedAnswer?): RecordedResponseMessage =
+    if (answer == null) RecordedResponseMessage() else RecordedResponseMessage(true, answer.status, answer.contentType, answer.body)
 
 fun ReserveReply.toDecision(): RepeatDecision {
     permit?.let { return RepeatDecision.Permitted(it) }
     uncertain?.let { return RepeatDecision.Uncertain(it) }
     refused?.let { return RepeatDecision.Refused(it.toRefusal()) }
-    val recorded = ranBefore ?: malformed("a reservation without content")
-    return RepeatDecision.RanBefore(recorded.toAnswer())
+    val recorded = alreadyRan ?: malformed("a reservation without content")
+    return RepeatDecision.RanBefore(recorded.toResponse())
 }
 
-private fun RecordedMessage.toAnswer(): RecordedAnswer? = if (held) RecordedAnswer(status, contentType, body) else null
+private fun RecordedResponseMessage.toResponse(): RecordedAnswer? = if (held) RecordedAnswer(status, contentType, body) else null
 
 fun SurrenderRequest.toMessage() = SurrenderMessage(key.text, revision.number)
 
@@ -165,16 +165,16 @@
 
 fun Surrender.toMessage(): SurrenderReply =
     when (this) {
-        Surrender.Unseen -> SurrenderReply(unseen = true)
-        is Surrender.RanBefore -> SurrenderReply(ranBefore = recorded(answer))
+        Surrender.Unseen -> SurrenderReply(released = true)
+        is Surrender.RanBefore -> SurrenderReply(alreadyRan = recorded(answer))
         is Surrender.Uncertain -> SurrenderReply(uncertain = detail)
     }
 
 fun SurrenderReply.toSurrender(): Surrender {
-    if (unseen) return Surrender.Unseen
+    if (released) return Surrender.Unseen
     uncertain?.let { return Surrender.Uncertain(it) }
-    val recorded = ranBefore ?: malformed("a surrender without content")
-    return Surrender.RanBefore(recorded.toAnswer())
+    val recorded = alreadyRan ?: malformed("a surrender without content")
+    return Surrender.RanBefore(recorded.toResponse())
 }
 
 fun TargetReport.toMessage() =
@@ -190,7 +190,7 @@
     TargetReport(
         TargetId(target),
         IncarnationId(incarnation),
-        room.toRoom(),
+        room.toTargetLoad(),
         versionOrNull(version),
         accepting,
     )
--- a/wire/src/test/kotlin/lagoonrudder/wire/ObjectTextTest.kt
+++ b/wire/src/test/kotlin/lagoonrudder/wire/ObjectTextTest.kt
@@ -17,11 +17,11 @@
 import lagoonrudder.wire.documents.readHead
 import lagoonrudder.wire.documents.readObjects
 import lagoonrudder.wire.documents.readParts
-import lagoonrudder.wire.documents.readWhole
+import lagoonrudder.wire.documents.readSet
 import lagoonrudder.wire.documents.seal
 import lagoonrudder.wire.documents.writeChanges
 import lagoonrudder.wire.documents.writeObjects
-import lagoonrudder.wire.documents.writeWhole
+import lagoonrudder.wire.documents.writeSet
 import kotlin.random.Random
 
 private val peer = Peer(PeerRole.PLATFORM, "test")
@@ -95,7 +95,7 @@
             val changes = checkNotNull(head.changes)
             before.objects.plus(changes.changes).digest shouldBe after.digest
             readHead(writeChanges(changes), peer).getOrNull()?.changes shouldBe changes
-            readWhole(writeWhole(after), peer).getOrNull()?.digest shouldBe after.digest
+            readSet(writeSet(after), peer).getOrNull()?.digest shouldBe after.digest
         }
 
         test("a revision that does not rise is not sealed") {
@@ -110,7 +110,7 @@
             val parts = document.parts.associate { it.digest to it.text }
             readParts(head, parts.mapValues { it.value.replace("customer-1", "customer-9") }, peer).isLeft() shouldBe true
             readParts(head, emptyMap(), peer).isLeft() shouldBe true
-            readWhole(writeWhole(set).replace("customer-1", "customer-9"), peer).isLeft() shouldBe true
+            readSet(writeSet(set).replace("customer-1", "customer-9"), peer).isLeft() shouldBe true
         }
 
         test("a large set is cut into parts under a megabyte") {
