--- a/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationLoop.kt
@@ -25,8 +25,8 @@
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedChanges
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.SnapshotDelta
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.wire.documents.SealedHead
 import lagoonrudder.wire.documents.readHead
 import lagoonrudder.wire.documents.readParts
@@ -112,8 +112,8 @@
 
     /** What this process has and what a peer lacks of it. */
     private data class Known(
-        val set: SealedSet,
-        val changes: SealedChanges?,
+        val set: ObjectSnapshot,
+        val changes: SnapshotDelta?,
         val instances: InstanceChanges?,
     )
 
@@ -128,14 +128,14 @@
     )
 
     private fun isNewer(
-        current: SealedSet,
+        current: ObjectSnapshot,
         revision: Revision,
         digest: Digest,
     ): Boolean = current.revision > revision || (current.revision == revision && revision > Revision.NONE && current.digest > digest)
 
     private fun offerMessage(
-        current: SealedSet,
-        changes: SealedChanges?,
+        current: ObjectSnapshot,
+        changes: SnapshotDelta?,
     ): OfferMessage {
         val sender = core.settings.name.text
         return if (changes == null) OfferMessage(sender, true, writeSet(current)) else OfferMessage(sender, false, writeChanges(changes))
@@ -228,7 +228,7 @@
 
     /** Offers changes; false when the whole set is needed. */
     private suspend fun offerChanges(
-        changes: SealedChanges,
+        changes: SnapshotDelta,
         peer: Peer,
     ): Boolean {
         val current = core.thread.decide { core.configuration.current }
@@ -243,7 +243,7 @@
     }
 
     private suspend fun offerWhole(
-        offered: SealedSet,
+        offered: ObjectSnapshot,
         peer: Peer,
     ) {
         val current = core.thread.decide { core.configuration.current }
@@ -305,7 +305,7 @@
     private suspend fun pass(
         child: Instance,
         message: OfferMessage,
-        set: SealedSet,
+        set: ObjectSnapshot,
     ) {
         val reply = core.rpc.offer(child.address, message, OFFER_LIMIT)
         val needsFullSet = reply.fold({ unheard(child.daemon, it) }, { it.needsFullSet })
@@ -379,7 +379,7 @@
     private suspend fun takeReply(
         reply: ExchangeResult,
         address: Address,
-        own: SealedSet,
+        own: ObjectSnapshot,
     ) {
         reply.instances?.let { changes -> core.thread.decide { if (core.membership.apply(changes)) changed() } }
         val offer = reply.offer
--- a/model/src/main/kotlin/lagoonrudder/model/Serving.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/Configuration.kt
@@ -1,27 +1,27 @@
 /**
- * What operators publish where entry daemons send requests straight to back ends: routes by host and path, services,
- * customers with their keys, and the limits for callers.
+ * The configuration of direct mode, in which entry daemons send requests directly to back ends: routes by host and path,
+ * services, customers with their API keys, and limits for callers.
  */
 package lagoonrudder.model
 
 import kotlin.time.Duration
 
-/** What may be repeated on a route. */
+/** The retry semantics of the requests on a route. */
 sealed class RequestKind {
-    /** May run any number of times. */
+    /** A request that may run any number of times. */
     data object Idempotent : RequestKind()
 
-    /** Runs at most once for each request of a caller. */
+    /** A request that must run at most once. */
     data object AtMostOnce : RequestKind()
 
-    /** A stream of events; [longestPause] is the longest pause between events of an answer in time. */
+    /** A stream of events. [maxEventGap] is the maximum time between two events of a response that counts as timely. */
     data class Stream(
         val resumable: Boolean,
-        val longestPause: Duration?,
+        val maxEventGap: Duration?,
     ) : RequestKind()
 
-    /** Whether a second back end may run the request after the first may have. */
-    val repeatable: Boolean
+    /** Whether the request may be retried on another back end although the first one may have run it. */
+    val retryable: Boolean
         get() =
             when (this) {
                 Idempotent -> true
@@ -30,39 +30,42 @@
             }
 }
 
-/** A part of a route's requests, in proportion to [weight], goes to [service]. */
+/** Sends a share of the requests of a route, in proportion to [weight], to [service]. */
 data class ServiceShare(
     val service: ServiceId,
     val weight: Double,
 )
 
-/** [attempts] bounds the back ends that one request may be sent to; an empty set of [homes] means every region. */
+/**
+ * A route, matched by host and path prefix. [attempts] is the maximum number of back ends to which one request may be sent.
+ * An empty set of [homeRegions] means every region.
+ */
 data class ServingRoute(
     val id: RouteId,
     val host: String,
     val prefix: String,
     val kind: RequestKind,
     val timeout: Duration,
-    val objective: Duration,
+    val latencyObjective: Duration,
     val priority: Int,
     val attempts: Int,
     val shares: List<ServiceShare>,
     val open: Boolean,
-    val homes: Set<RegionId>,
+    val homeRegions: Set<RegionId>,
 )
 
-/** How the weights of a service's models are cut into pieces. */
+/** The layout of the weights of a service's models in layers and chunks. */
 data class WeightLayout(
     val models: List<ModelId>,
     val layers: Int,
-    val pieces: Int,
-    val pieceBytes: Int,
+    val chunkCount: Int,
+    val chunkBytes: Int,
 )
 
-/** [coldRequestsPerSecond] is what a back end bears just after its start, or null when it has no such bound. */
+/** A pool of back ends. [coldRequestsPerSecond] is the rate limit of a cold back end, or null when there is none. */
 data class ServingService(
     val id: ServiceId,
-    val connections: Int,
+    val maxConnections: Int,
     val coldRequestsPerSecond: Double?,
     val weights: WeightLayout?,
     val origin: Address?,
@@ -71,12 +74,12 @@
 
 data class ServingCustomer(
     val id: CustomerId,
-    val keys: Set<String>,
+    val apiKeys: Set<String>,
     val priority: Int?,
-    val homes: Set<RegionId>,
+    val homeRegions: Set<RegionId>,
 )
 
-/** What a caller may send and how long it may take. */
+/** Limits on the size and duration of requests from callers. */
 data class CallerLimits(
     val headerBytes: Int,
     val bodyBytes: Int,
@@ -84,7 +87,7 @@
     val idleTimeout: Duration,
 )
 
-data class ServingSet(
+data class ServingConfiguration(
     val revision: Revision,
     val routes: List<ServingRoute>,
     val services: List<ServingService>,
@@ -92,30 +95,30 @@
     val limits: CallerLimits,
 ) {
     private val routesByHost = routes.groupBy { it.host }.mapValues { (_, routes) -> routes.sortedByDescending { it.prefix.length } }
-    private val customersByKey = customers.flatMap { customer -> customer.keys.map { it to customer } }.toMap()
+    private val customersByKey = customers.flatMap { customer -> customer.apiKeys.map { it to customer } }.toMap()
     private val servicesById = services.associateBy { it.id }
 
-    /** The route of [host] with the longest prefix of [path]. */
+    /** Returns the route of [host] whose prefix is the longest that matches [path]. */
     fun route(
         host: String,
         path: String,
     ): ServingRoute? = routesByHost[host]?.firstOrNull { path.startsWith(it.prefix) }
 
-    fun customerOf(key: String): ServingCustomer? = customersByKey[key]
+    fun customerByApiKey(key: String): ServingCustomer? = customersByKey[key]
 
     fun service(id: ServiceId): ServingService? = servicesById[id]
 
-    val asksForKeys: Boolean get() = customers.isNotEmpty()
+    val requiresApiKeys: Boolean get() = customers.isNotEmpty()
 }
 
-/** The weights that a back end holds: the first [layers] layers, without a gap. */
+/** The weights that a back end holds: the first [layers] layers, without gaps. */
 data class HeldWeights(
     val model: ModelId,
     val number: WeightNumber,
     val layers: Int,
 )
 
-/** A back end as it registers itself. [born] is the wall-clock millisecond of its start; [coldFor] how long it stays cold. */
+/** The registration of a back end. [born] is its start time in epoch milliseconds, [coldFor] the time for which it stays cold. */
 data class BackEnd(
     val id: TargetId,
     val service: ServiceId,
@@ -128,29 +131,29 @@
     val weights: HeldWeights?,
 )
 
-/** One item of the platform's store after it was read. */
-sealed class Published {
-    data class Serving(
-        val set: ServingSet,
-    ) : Published()
+/** A decoded item of the platform's key-value store. */
+sealed class StoreRecord {
+    data class Configuration(
+        val set: ServingConfiguration,
+    ) : StoreRecord()
 
-    /** Nothing new is to be sent to back ends of [domain] while this item is there. */
-    data class Evacuated(
+    /** While this item exists, no new requests may be sent to the back ends of [domain]. */
+    data class DomainEvacuation(
         val domain: DomainId,
-    ) : Published()
+    ) : StoreRecord()
 
-    /** [number] is the version that back ends of [model] are to hold. */
-    data class Declared(
+    /** Declares [number] as the version that the back ends of [model] must hold. */
+    data class VersionDeclaration(
         val model: ModelId,
         val number: WeightNumber,
-    ) : Published()
+    ) : StoreRecord()
 
     data class Registered(
         val backEnd: BackEnd,
-    ) : Published()
+    ) : StoreRecord()
 
-    /** An item that says nothing usable; [detail] names what is wrong with it. */
-    data class Unusable(
+    /** An item that could not be decoded. [detail] names the error. */
+    data class Unreadable(
         val detail: String,
-    ) : Published()
+    ) : StoreRecord()
 }
--- a/model/src/main/kotlin/lagoonrudder/model/ObjectSetBuilder.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/ObjectSetBuilder.kt
@@ -1,5 +1,5 @@
 /**
- * A small builder for object sets, for tests, samples and measurements.
+ * A builder DSL for object sets in tests, samples and benchmarks.
  */
 package lagoonrudder.model
 
@@ -9,7 +9,7 @@
 @DslMarker
 annotation class ObjectSetDsl
 
-/** Builds a set; the result is not checked. */
+/** Builds an object set without validating it. */
 fun objectSet(build: ObjectSetBuilder.() -> Unit): ObjectSet = ObjectSet(ObjectSetBuilder().apply(build).objects)
 
 @ObjectSetDsl
@@ -34,7 +34,7 @@
     fun domain(
         name: String,
         region: String = name,
-        service: Service = Service.IN,
+        service: AdminState = AdminState.IN,
     ) {
         objects += OperatorObject.Domain(DomainId(name), RegionId(region), service)
     }
@@ -80,7 +80,7 @@
         name: String,
         fleet: String,
         domain: String,
-        service: Service = Service.IN,
+        service: AdminState = AdminState.IN,
         requests: Int = 16,
         memoryTokens: Long = 100_000,
         weightBytes: Long = Long.MAX_VALUE,
--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/ObjectText.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/ObjectText.kt
@@ -21,7 +21,7 @@
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.RegionId
 import lagoonrudder.model.RouteId
-import lagoonrudder.model.Service
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.VersionId
@@ -78,7 +78,7 @@
             ObjectKind.REGION -> OperatorObject.Region(RegionId(key.name), boolean("origin"))
             ObjectKind.LINK -> OperatorObject.Link(key.name, RegionId(text("first")), RegionId(text("second")), long("bytes-per-second"))
             ObjectKind.DOMAIN ->
-                OperatorObject.Domain(DomainId(key.name), RegionId(text("region")), enumValue("service", Service.entries))
+                OperatorObject.Domain(DomainId(key.name), RegionId(text("region")), enumValue("service", AdminState.entries))
             ObjectKind.CUSTOMER -> OperatorObject.Customer(CustomerId(key.name), text("token"), int("weight"))
             ObjectKind.MODEL -> OperatorObject.Model(ModelId(key.name))
             ObjectKind.VERSION -> readVersion(section, key.name)
@@ -126,7 +126,7 @@
             id = TargetId(name),
             fleet = FleetId(text("fleet")),
             domain = DomainId(text("domain")),
-            service = enumValue("service", Service.entries),
+            service = enumValue("service", AdminState.entries),
             weightBytes = long("weight-bytes"),
             memoryTokens = long("memory-tokens"),
             requests = int("requests"),
--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/SealedDocument.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/SealedDocument.kt
@@ -22,8 +22,8 @@
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Peer
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedChanges
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.SnapshotDelta
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Step
 import lagoonrudder.model.canonicalText
 import lagoonrudder.model.changesBetween
@@ -46,7 +46,7 @@
     val revision: Revision,
     val digest: Digest,
     val parts: List<Digest>,
-    val changes: SealedChanges?,
+    val changes: SnapshotDelta?,
 )
 
 /** The texts to publish: write all parts before the head. */
@@ -57,8 +57,8 @@
 
 /** Seals [set] as the successor of [before]. Fails if the revision doesn't increase or an object doesn't fit into one part. */
 fun seal(
-    set: SealedSet,
-    before: SealedSet,
+    set: ObjectSnapshot,
+    before: ObjectSnapshot,
     file: String,
 ): Either<Failure.Malformed, SealedDocument> =
     either {
@@ -71,11 +71,11 @@
     }
 
 /** Returns the text that sends only [changes] to a peer. */
-fun writeChanges(changes: SealedChanges): String =
+fun writeChanges(changes: SnapshotDelta): String =
     headText(changes.revision, changes.digest, emptyList(), changes) + writeObjects(changes.changes.changed)
 
 /** Returns the text that sends the full [set] to a peer. */
-fun writeSet(set: SealedSet): String = headText(set.revision, set.digest, listOf(set.digest), null) + writeObjects(set.objects.byKey.values)
+fun writeSet(set: ObjectSnapshot): String = headText(set.revision, set.digest, listOf(set.digest), null) + writeObjects(set.objects.byKey.values)
 
 /** Reads a head from the platform or changes from a peer. Objects in the text belong to the changes. */
 fun readHead(
@@ -94,27 +94,27 @@
     head: SealedHead,
     parts: Map<Digest, String>,
     peer: Peer,
-): Either<Failure, SealedSet> =
+): Either<Failure, ObjectSnapshot> =
     either {
         val texts = head.parts.map { parts[it] ?: raise(damaged(peer, "missing part ${it.hexadecimal}")) }
         for ((digest, text) in head.parts.zip(texts)) {
             ensure(digestOf(text.encodeToByteArray()) == digest) { damaged(peer, "part digest mismatch: expected ${digest.hexadecimal}") }
         }
         val objects = readObjects(texts.joinToString("\n"), peer.toString()).mapLeft { it.first() }.bind()
-        verifyDigest(SealedSet(head.revision, objects), head.digest, peer).bind()
+        verifyDigest(ObjectSnapshot(head.revision, objects), head.digest, peer).bind()
     }
 
 /** Reads a full set that a peer sent as one text. */
 fun readSet(
     text: String,
     peer: Peer,
-): Either<Failure, SealedSet> =
+): Either<Failure, ObjectSnapshot> =
     either {
         val sections = readIni(text, peer.toString(), Step.VERIFY_SEAL).bind()
         val sealed = sections.firstOrNull { it.name == SEALED } ?: raise(damaged(peer, "no section [$SEALED]"))
         val objects = readSections(sections - sealed).mapLeft { it.first() }.bind()
         val head = readSealed(sealed, emptyList())
-        verifyDigest(SealedSet(head.revision, ObjectSet(objects)), head.digest, peer).bind()
+        verifyDigest(ObjectSnapshot(head.revision, ObjectSet(objects)), head.digest, peer).bind()
     }
 
 private const val SEALED = "sealed"
@@ -124,10 +124,10 @@
 private const val MAX_CHANGES_BYTES = 400_000
 
 private fun verifyDigest(
-    set: SealedSet,
+    set: ObjectSnapshot,
     digest: Digest,
     peer: Peer,
-): Either<Failure, SealedSet> = if (set.digest == digest) set.right() else damaged(peer, "set digest mismatch").left()
+): Either<Failure, ObjectSnapshot> = if (set.digest == digest) set.right() else damaged(peer, "set digest mismatch").left()
 
 private fun damaged(
     peer: Peer,
@@ -159,11 +159,11 @@
 }
 
 private fun writeHead(
-    set: SealedSet,
+    set: ObjectSnapshot,
     parts: List<Digest>,
-    before: SealedSet,
+    before: ObjectSnapshot,
 ): String {
-    val changes = SealedChanges(before.revision, before.digest, set.revision, set.digest, changesBetween(before.objects, set.objects))
+    val changes = SnapshotDelta(before.revision, before.digest, set.revision, set.digest, changesBetween(before.objects, set.objects))
     val objects = writeObjects(changes.changes.changed)
     val includeChanges = before.revision > Revision.NONE && objects.length <= MAX_CHANGES_BYTES
     val head = headText(set.revision, set.digest, parts, changes.takeIf { includeChanges })
@@ -174,7 +174,7 @@
     revision: Revision,
     digest: Digest,
     parts: List<Digest>,
-    changes: SealedChanges?,
+    changes: SnapshotDelta?,
 ): String =
     buildString {
         append("[$SEALED]\n")
@@ -208,7 +208,7 @@
         rejectUnknownKeys()
         val changes =
             if (base != null && baseDigest != null) {
-                SealedChanges(base, baseDigest, revision, digest, ObjectChanges(objects, removed))
+                SnapshotDelta(base, baseDigest, revision, digest, ObjectChanges(objects, removed))
             } else {
                 null
             }
--- a/wire/src/test/kotlin/lagoonrudder/wire/ObjectTextTest.kt
+++ b/wire/src/test/kotlin/lagoonrudder/wire/ObjectTextTest.kt
@@ -11,8 +11,8 @@
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedSet
-import lagoonrudder.model.Service
+import lagoonrudder.model.ObjectSnapshot
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.objectSet
 import lagoonrudder.wire.documents.readHead
 import lagoonrudder.wire.documents.readObjects
@@ -34,7 +34,7 @@
         region("ost", origin = true)
         region("west")
         link("ost", "west", 2_250_000)
-        domain("ost", service = if (out) Service.OUT else Service.IN)
+        domain("ost", service = if (out) AdminState.OUT else AdminState.IN)
         repeat(customers) { customer("customer-$it") }
         model("m")
         version("m-1", "m", bytes = 100, chunkBytes = 10)
@@ -87,8 +87,8 @@
         }
 
         test("a sealed document yields the same set with and without the previous set") {
-            val before = SealedSet(Revision(3), objects())
-            val after = SealedSet(Revision(4), objects(customers = 5, out = true))
+            val before = ObjectSnapshot(Revision(3), objects())
+            val after = ObjectSnapshot(Revision(4), objects(customers = 5, out = true))
             val document = checkNotNull(seal(after, before, "objects.ini").getOrNull())
             val head = checkNotNull(readHead(document.head, peer).getOrNull())
             readParts(head, document.parts.associate { it.digest to it.text }, peer).getOrNull()?.digest shouldBe after.digest
@@ -99,13 +99,13 @@
         }
 
         test("a revision that does not increase is not sealed") {
-            val set = SealedSet(Revision(3), objects())
+            val set = ObjectSnapshot(Revision(3), objects())
             seal(set, set, "objects.ini").leftOrNull()?.detail.orEmpty() shouldContain "above 3"
         }
 
         test("a corrupt part, a missing part and a corrupt full set are rejected") {
-            val set = SealedSet(Revision(1), objects())
-            val document = checkNotNull(seal(set, SealedSet.EMPTY, "objects.ini").getOrNull())
+            val set = ObjectSnapshot(Revision(1), objects())
+            val document = checkNotNull(seal(set, ObjectSnapshot.EMPTY, "objects.ini").getOrNull())
             val head = checkNotNull(readHead(document.head, peer).getOrNull())
             val parts = document.parts.associate { it.digest to it.text }
             readParts(head, parts.mapValues { it.value.replace("customer-1", "customer-9") }, peer).isLeft() shouldBe true
@@ -114,8 +114,8 @@
         }
 
         test("a large set is split into parts of less than a megabyte") {
-            val set = SealedSet(Revision(1), objects(customers = 20_000))
-            val parts = checkNotNull(seal(set, SealedSet.EMPTY, "objects.ini").getOrNull()).parts
+            val set = ObjectSnapshot(Revision(1), objects(customers = 20_000))
+            val parts = checkNotNull(seal(set, ObjectSnapshot.EMPTY, "objects.ini").getOrNull()).parts
             (parts.size > 1) shouldBe true
             parts.all { it.text.length < 1_000_000 } shouldBe true
         }
