--- a/control/src/main/kotlin/lagoonrudder/control/AdmissionController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/AdmissionController.kt
@@ -1,10 +1,10 @@
 /**
- * Decides at an entry daemon who waits, who goes next and who is turned away.
+ * Controls which requests wait at an entry daemon, in which order they are sent, and which are rejected.
  *
- * Requests wait in one line for each fleet, or for the owner of their key. What waits is bounded by count and bytes, and
- * one customer may fill half of that. Within a customer the highest priority goes first; customers share by weight, so
- * that a burst of one lengthens only its own wait. A request that can't end before its deadline is refused early, with
- * the time after which a repeat may succeed.
+ * There is one queue for each fleet, and one for each owner of idempotency keys. The queued requests are bounded by count
+ * and bytes, and one customer may use half of these bounds. Within a customer the highest priority goes first. Customers
+ * share by weight, so that a burst of one customer delays only its own requests. A request that can't complete before its
+ * deadline is rejected early, with the time after which a retry may succeed.
  */
 package lagoonrudder.control
 
@@ -20,24 +20,28 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The order in which waiting requests go. */
+/** The order in which queued requests are sent. */
 sealed class QueuePolicy {
-    /** One line in order of arrival, without priorities, weights or early refusals: the baseline. */
+    /** First in, first out, without priorities, weights, customer bounds or early rejection; a baseline for comparison. */
     data object ArrivalOrder : QueuePolicy()
 
+    /** Customers share by weight; a higher priority gives a bounded advance. */
     data object WeightedFair : QueuePolicy()
 }
 
-/** [requests] and [bytes] bound what waits in this process. */
+/** Bounds on all requests that are queued in this process: their count and the sum of their [bytes]. */
 data class QueueBounds(
     val requests: Int = 2_000,
     val bytes: Long = 16_000_000,
 )
 
-/** A request as the queue sees it. [cost] is its expected work in tokens, [deadline] is process time. */
-data class Waiting(
+/**
+ * A request in a queue. [cost] is its expected work in tokens, [bytes] the memory that it occupies while it waits, and
+ * [deadline] is in elapsed time of this process.
+ */
+data class QueuedRequest(
     val id: RequestId,
-    val line: QueueLine,
+    val queueKey: QueueKey,
     val customer: CustomerId,
     val weight: Int,
     val priority: Int,
@@ -46,8 +50,8 @@
     val deadline: Duration,
 )
 
-/** What a request waits for: any target of [fleet], or only [owner]. */
-data class QueueLine(
+/** Identifies a queue by what its requests wait for: any target of [fleet], or only [owner]. */
+data class QueueKey(
     val fleet: FleetId,
     val owner: TargetId?,
 )
@@ -65,67 +69,67 @@
     private val bounds: QueueBounds,
     private val invariants: Invariants,
 ) {
-    private val lines = mutableMapOf<QueueLine, WaitingLine>()
-    private val held = mutableMapOf<CustomerId, Held>()
+    private val queues = mutableMapOf<QueueKey, RequestQueue>()
+    private val usageByCustomer = mutableMapOf<CustomerId, Usage>()
     private var requests = 0
     private var bytes = 0L
     private var refused = 0L
     private var expired = 0L
 
-    /** What one customer has waiting in all lines. */
-    private class Held(
+    /** What one customer has queued in all queues. */
+    private class Usage(
         var requests: Int = 0,
         var bytes: Long = 0,
     )
 
-    /** Lets [waiting] into its line or refuses it. */
-    fun enter(
-        waiting: Waiting,
+    /** Adds [request] to its queue or rejects it. */
+    fun enqueue(
+        request: QueuedRequest,
         now: Duration,
     ): QueueDecision {
-        refusalFor(waiting, now)?.let {
+        refusalFor(request, now)?.let {
             refused++
             return QueueDecision.Refused(it)
         }
-        add(waiting, again = false)
+        add(request, atHead = false)
         val withinBound = requests <= bounds.requests && bytes <= bounds.bytes
         invariants.check(withinBound, Invariant.QUEUE_WITHIN_BOUND, Step.ADMIT) { "requests=$requests bytes=$bytes" }
         return QueueDecision.Queued
     }
 
-    /** Puts a request that a target turned away back to the head of its line. */
-    fun reenter(waiting: Waiting) = add(waiting, again = true)
+    /** Puts a request that a target rejected back at the head of its queue. */
+    fun requeue(request: QueuedRequest) = add(request, atHead = true)
 
-    /** The request that goes next in [key], or null when none waits. It stays in the line until it is taken or removed. */
-    fun head(key: QueueLine): Waiting? = lines[key]?.head(policy)
+    /** Returns the next request of queue [key] without removing it, or null if the queue is empty. */
+    fun peek(key: QueueKey): QueuedRequest? = queues[key]?.peek(policy)
 
-    /** Takes [waiting] out of its line because it goes to a target; its customer is charged for it. */
-    fun take(waiting: Waiting): Boolean = release(waiting, lines[waiting.line]?.take(waiting))
+    /** Removes [request] because it is sent to a target, and charges its customer. Returns whether it was queued. */
+    fun dequeue(request: QueuedRequest): Boolean = release(request, queues[request.queueKey]?.dequeue(request))
 
-    /** Takes [waiting] out of its line because it does not go: it is late or its caller has gone. */
-    fun remove(waiting: Waiting): Boolean = release(waiting, lines[waiting.line]?.remove(waiting))
+    /** Removes [request] because it expired or its caller disconnected. Returns whether it was queued. */
+    fun remove(request: QueuedRequest): Boolean = release(request, queues[request.queueKey]?.remove(request))
 
-    /** Takes out the requests that can't end before their deadline any more. */
-    fun expire(now: Duration): List<Waiting> {
+    /** Removes and returns the requests that can no longer complete before their deadline. */
+    fun expire(now: Duration): List<QueuedRequest> {
         if (requests == 0) return emptyList()
-        val late = lines.values.flatMap { it.late(policy, now) }
-        late.forEach(::remove)
-        expired += late.size
-        return late
+        val overdue = queues.values.flatMap { it.overdue(policy, now) }
+        overdue.forEach(::remove)
+        expired += overdue.size
+        return overdue
     }
 
-    /** Learns from a request of [waiting]'s line that ended after [service] at its target, for the forecast of waits. */
-    fun ended(
-        waiting: Waiting,
+    /** Updates the forecast of [request]'s queue: the request completed after [service] at its target. */
+    fun onRequestCompleted(
+        request: QueuedRequest,
         service: Duration,
         now: Duration,
-    ) = lineOf(waiting.line).learn(waiting, service, now)
+    ) = queueOf(request.queueKey).recordCompletion(request, service, now)
 
-    /** The lines in which someone waits. */
-    fun waitingLines(): List<QueueLine> = lines.filterValues { it.size > 0 }.keys.toList()
+    /** Returns the keys of the queues that hold at least one request. */
+    fun nonEmptyQueues(): List<QueueKey> = queues.filterValues { it.size > 0 }.keys.toList()
 
-    /** The number of requests that wait in [key]. */
-    fun waitingIn(key: QueueLine): Int = lines[key]?.size ?: 0
+    /** Returns the number of requests in queue [key]. */
+    fun queueLength(key: QueueKey): Int = queues[key]?.size ?: 0
 
     fun dump(): DumpSection =
         dumpSection("admission") {
@@ -134,67 +138,67 @@
             entry("waiting-bytes", bytes)
             entry("refused", refused)
             entry("expired", expired)
-            for ((key, line) in lines) entry("line ${key.fleet.text} ${key.owner?.text ?: "any"}", line.describe())
+            for ((key, queue) in queues) entry("line ${key.fleet.text} ${key.owner?.text ?: "any"}", queue.describe())
         }
 
     private fun refusalFor(
-        waiting: Waiting,
+        request: QueuedRequest,
         now: Duration,
     ): Refusal? {
-        val line = lineOf(waiting.line)
-        val wait = line.forecast(waiting, now)
-        val end = now + wait + line.serviceTime(waiting, now)
+        val queue = queueOf(request.queueKey)
+        val wait = queue.forecast(request, now)
+        val end = now + wait + queue.serviceTime(request, now)
         return when {
-            isFull(waiting) -> Refusal.Overloaded(retryAfter(wait))
-            policy is QueuePolicy.WeightedFair && end > waiting.deadline -> Refusal.TooLate(retryAfter(wait))
+            isFull(request) -> Refusal.Overloaded(retryAfter(wait))
+            policy is QueuePolicy.WeightedFair && end > request.deadline -> Refusal.TooLate(retryAfter(wait))
             else -> null
         }
     }
 
-    /** One customer may fill half of the bounds, so that it can't shut the others out. */
-    private fun isFull(waiting: Waiting): Boolean {
-        val own = held[waiting.customer] ?: Held()
-        val all = requests >= bounds.requests || bytes + waiting.bytes > bounds.bytes
-        val share = own.requests >= halfOf(bounds.requests) || own.bytes + waiting.bytes > halfOf(bounds.bytes)
-        return all || (policy is QueuePolicy.WeightedFair && share)
+    /** One customer may use half of the bounds, so that it can't starve the others. */
+    private fun isFull(request: QueuedRequest): Boolean {
+        val usage = usageByCustomer[request.customer] ?: Usage()
+        val totalFull = requests >= bounds.requests || bytes + request.bytes > bounds.bytes
+        val customerFull = usage.requests >= halfOf(bounds.requests) || usage.bytes + request.bytes > halfOf(bounds.bytes)
+        return totalFull || (policy is QueuePolicy.WeightedFair && customerFull)
     }
 
     private fun halfOf(count: Int) = (count + 1) / 2
 
     private fun halfOf(count: Long) = (count + 1) / 2
 
-    private fun retryAfter(wait: Duration): Duration = wait.coerceIn(SHORTEST_RETRY, LONGEST_RETRY)
+    private fun retryAfter(wait: Duration): Duration = wait.coerceIn(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
 
     private fun add(
-        waiting: Waiting,
-        again: Boolean,
+        request: QueuedRequest,
+        atHead: Boolean,
     ) {
-        lineOf(waiting.line).add(waiting, again)
+        queueOf(request.queueKey).add(request, atHead)
         requests++
-        bytes += waiting.bytes
-        val own = held.getOrPut(waiting.customer) { Held() }
-        own.requests++
-        own.bytes += waiting.bytes
+        bytes += request.bytes
+        val usage = usageByCustomer.getOrPut(request.customer) { Usage() }
+        usage.requests++
+        usage.bytes += request.bytes
     }
 
     private fun release(
-        waiting: Waiting,
-        found: Boolean?,
+        request: QueuedRequest,
+        removed: Boolean?,
     ): Boolean {
-        if (found != true) return false
+        if (removed != true) return false
         requests--
-        bytes -= waiting.bytes
-        val own = held.getValue(waiting.customer)
-        own.requests--
-        own.bytes -= waiting.bytes
-        if (own.requests == 0) held.remove(waiting.customer)
+        bytes -= request.bytes
+        val usage = usageByCustomer.getValue(request.customer)
+        usage.requests--
+        usage.bytes -= request.bytes
+        if (usage.requests == 0) usageByCustomer.remove(request.customer)
         return true
     }
 
-    private fun lineOf(key: QueueLine): WaitingLine = lines.getOrPut(key) { WaitingLine() }
+    private fun queueOf(key: QueueKey): RequestQueue = queues.getOrPut(key) { RequestQueue() }
 
     private companion object {
-        val SHORTEST_RETRY = 200.milliseconds
-        val LONGEST_RETRY = 30.seconds
+        val MIN_RETRY_AFTER = 200.milliseconds
+        val MAX_RETRY_AFTER = 30.seconds
     }
 }
--- a/control/src/main/kotlin/lagoonrudder/control/CheckedSet.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/CheckedSet.kt
@@ -1,8 +1,8 @@
 /**
- * A set that passed the whole check, ready to be put in force.
+ * An object set that passed validation and can be activated.
  *
- * The check and the digests take time that grows with the set, so they run on a traffic thread; the control thread only
- * compares revisions and takes the result over. The type is the proof that the check was made.
+ * Validation and digests take time that grows with the set, so they run on a traffic thread; the control thread only
+ * compares revisions and replaces the active set. An instance of the type proves that the set was validated.
  */
 package lagoonrudder.control
 
@@ -18,7 +18,7 @@
 import lagoonrudder.model.changesBetween
 import lagoonrudder.model.checkObjects
 
-/** [changes] lead from [base] to [set]; [peer] is who offered it. */
+/** A valid [set] that [peer] offered. [changes] lead to it from [base]. */
 class CheckedSet private constructor(
     val set: SealedSet,
     val base: SealedSet,
@@ -26,8 +26,8 @@
     val peer: Peer,
 ) {
     companion object {
-        /** Checks a whole set that [peer] offered to a process that has [base] in force. */
-        fun ofWhole(
+        /** Validates a full set that [peer] offered to a process whose active set is [base]. */
+        fun ofFullSet(
             offered: SealedSet,
             base: SealedSet,
             peer: Peer,
@@ -36,15 +36,15 @@
                 .mapLeft { it.first() }
                 .map { CheckedSet(offered, base, changesFrom(base, offered), peer) }
 
-        /** Applies changes that [peer] offered to [base], verifies the digest they lead to, and checks the result. */
+        /** Applies changes that [peer] offered to [base], verifies the digest of the result, and validates it. */
         fun ofChanges(
             offered: SealedChanges,
             base: SealedSet,
             peer: Peer,
         ): Either<Failure, CheckedSet> {
-            val next = SealedSet(offered.revision, base.objects.plus(offered.changes))
-            val verified = if (next.digest == offered.digest) next.right() else damaged(offered, peer).left()
-            return verified.flatMap { ofWhole(it, base, peer) }
+            val result = SealedSet(offered.revision, base.objects.plus(offered.changes))
+            val verified = if (result.digest == offered.digest) result.right() else digestMismatch(offered, peer).left()
+            return verified.flatMap { ofFullSet(it, base, peer) }
         }
 
         private fun changesFrom(
@@ -52,15 +52,15 @@
             set: SealedSet,
         ) = SealedChanges(base.revision, base.digest, set.revision, set.digest, changesBetween(base.objects, set.objects))
 
-        private fun damaged(
+        private fun digestMismatch(
             offered: SealedChanges,
             peer: Peer,
         ): Failure =
-            Failure.Damaged(Step.ACCEPT_CONFIGURATION, peer, "changes to revision ${offered.revision.number} don't lead to its digest")
+            Failure.Damaged(Step.ACCEPT_CONFIGURATION, peer, "digest mismatch after applying the changes to revision ${offered.revision.number}")
     }
 }
 
-/** Whether [offered] starts from the set that [base] is. */
+/** Whether [offered] applies to [base]. */
 fun startsFrom(
     offered: SealedChanges,
     base: SealedSet,
--- a/control/src/main/kotlin/lagoonrudder/control/ConfigurationController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/ConfigurationController.kt
@@ -1,9 +1,10 @@
 /**
- * Decides which object set is in force in this process.
+ * Controls which object set is active in this process.
  *
- * The revision in force only rises. A set that fails the check never displaces a good one. Two sets with one revision
- * raise an alarm, and every process settles on the one with the greater digest, which needs no exchange. A process
- * serves only while its configuration is confirmed: at its start and after a pause it asks peers and the platform first.
+ * The active revision only increases, and a set that fails validation never replaces a valid one. Two different sets with
+ * the same revision raise an alarm, and every process settles on the one with the greater digest, which requires no
+ * communication. A process accepts new requests only while its configuration is confirmed: after a start and after a pause
+ * it queries peers and the platform first.
  */
 package lagoonrudder.control
 
@@ -16,41 +17,48 @@
 import lagoonrudder.model.Step
 import kotlin.time.Duration
 
-/** What became of an offered set. */
+/** The result of offering a set. */
 sealed class ConfigurationOutcome {
-    /** The set is in force; [changes] led to it from the one before. */
+    /**
+     * The set became active, and [changes] lead to it from the previous one. If [replacedConflicting] is true, the previous set
+     * had the same revision and another digest.
+     */
     data class Accepted(
         val set: SealedSet,
         val changes: SealedChanges,
-        val replacedTwin: Boolean,
+        val replacedConflicting: Boolean,
     ) : ConfigurationOutcome()
 
-    /** The set was in force already. */
+    /** The set was already active. */
     data object Known : ConfigurationOutcome()
 
-    /** The offer is older than what is in force, or lost against its twin of the same revision. */
+    /**
+     * The offer is older than the [active] revision. If [conflicting] is true, it has the same revision and lost to the active
+     * set by its digest.
+     */
     data class Superseded(
-        val inForce: Revision,
-        val twin: Boolean,
+        val active: Revision,
+        val conflicting: Boolean,
     ) : ConfigurationOutcome()
 
-    /** Another set came into force while the offer was checked: check it again. */
-    data object BaseMoved : ConfigurationOutcome()
+    /** Another set became active while the offer was validated, so that it must be validated again. */
+    data object BaseChanged : ConfigurationOutcome()
 }
 
-/** Whether the process may rely on the set in force. */
+/** Whether the process may rely on the active set. */
 sealed class Confirmation {
+    /** Nothing suggests that the active set is stale. */
     data object Confirmed : Confirmation()
 
-    /** Peers and platform are being asked since [since]; at [until] the process goes on with what it has. */
+    /** Peers and the platform have been queried since [since]; at [until] the process continues with the set that it has. */
     data class Pending(
         val since: Duration,
         val until: Duration,
     ) : Confirmation()
 }
 
-/** A set in force and the process-local time at which it came into force. */
-data class ForcedSet(
+/** An active set and the process-local time at which it became active. */
+data class ActiveSet(
     val set: SealedSet,
     val since: Duration,
 )
@@ -62,47 +70,50 @@
         private set
     var confirmation: Confirmation = Confirmation.Pending(Duration.ZERO, Duration.INFINITE)
         private set
-    private val recent = ArrayDeque<SealedChanges>()
-    private var alarms = 0
+    private val recentChanges = ArrayDeque<SealedChanges>()
+    private var conflicts = 0
     private var rejections = 0
 
-    /** Offers a checked set; the check was made against the set in force at that time. */
+    /** Activates a validated set unless it is older than the active one, or was validated against another base. */
     fun offer(offered: CheckedSet): ConfigurationOutcome {
         val set = offered.set
         return when {
-            set.revision < current.revision -> ConfigurationOutcome.Superseded(current.revision, twin = false)
+            set.revision < current.revision -> ConfigurationOutcome.Superseded(current.revision, conflicting = false)
             set.revision == current.revision && set.digest == current.digest -> ConfigurationOutcome.Known
-            offered.base !== current -> ConfigurationOutcome.BaseMoved
-            set.revision > current.revision -> accept(offered, replacedTwin = false)
-            else -> settleTwins(offered)
+            offered.base !== current -> ConfigurationOutcome.BaseChanged
+            set.revision > current.revision -> activate(offered, replacedConflicting = false)
+            else -> resolveConflict(offered)
         }
     }
 
-    /** An offer that could not be read, verified or checked. */
-    fun rejected() {
+    /** Counts an offer that could not be decoded, verified or validated. */
+    fun onRejected() {
         rejections++
     }
 
-    /** The changes from [base] to the set in force, when they are still held; they may combine several revisions. */
+    /**
+     * Returns the changes from [base] to the active set, which may combine several revisions, or null if they are no longer
+     * held.
+     */
     fun changesSince(
         base: Revision,
         baseDigest: Digest,
-    ): SealedChanges? = recent.firstOrNull { it.base == base && it.baseDigest == baseDigest && it.revision == current.revision }
+    ): SealedChanges? = recentChanges.firstOrNull { it.base == base && it.baseDigest == baseDigest && it.revision == current.revision }
 
-    /** Starts to ask peers and the platform; new work waits until [confirm] or [limit] has passed. */
-    fun suspectStale(
+    /** Holds back new requests until [confirm] is called or [limit] has passed. */
+    fun requireConfirmation(
         now: Duration,
         limit: Duration,
     ) {
         confirmation = Confirmation.Pending(now, now + limit)
     }
 
-    /** Everyone who was asked has answered or timed out. */
+    /** All queries to peers and the platform were answered or timed out. */
     fun confirm() {
         confirmation = Confirmation.Confirmed
     }
 
-    /** Whether new work may be taken at [now]: a set is in force and nothing suggests that it is stale. */
+    /** Whether new requests may be accepted at [now]: a set is active, and confirmed or past its time limit. */
     fun mayServe(now: Duration): Boolean {
         val state = confirmation
         val confirmed =
@@ -119,20 +130,20 @@
             entry("digest", current.digest.hexadecimal)
             entry("objects", current.objects.byKey.size)
             entry("confirmation", confirmation)
-            entry("recent-changes", recent.size)
-            entry("twin-alarms", alarms)
+            entry("recent-changes", recentChanges.size)
+            entry("twin-alarms", conflicts)
             entry("rejections", rejections)
         }
 
-    private fun settleTwins(offered: CheckedSet): ConfigurationOutcome {
-        alarms++
-        if (offered.set.digest < current.digest) return ConfigurationOutcome.Superseded(current.revision, twin = true)
-        return accept(offered, replacedTwin = true)
+    private fun resolveConflict(offered: CheckedSet): ConfigurationOutcome {
+        conflicts++
+        if (offered.set.digest < current.digest) return ConfigurationOutcome.Superseded(current.revision, conflicting = true)
+        return activate(offered, replacedConflicting = true)
     }
 
-    private fun accept(
+    private fun activate(
         offered: CheckedSet,
-        replacedTwin: Boolean,
+        replacedConflicting: Boolean,
     ): ConfigurationOutcome {
         val set = offered.set
         invariants.check(
@@ -142,22 +153,22 @@
             offered.peer,
         ) { "from=${current.revision.number} to=${set.revision.number}" }
         current = set
-        remember(offered.changes)
-        return ConfigurationOutcome.Accepted(set, offered.changes, replacedTwin)
+        recordChanges(offered.changes)
+        return ConfigurationOutcome.Accepted(set, offered.changes, replacedConflicting)
     }
 
-    private fun remember(changes: SealedChanges) {
-        val extended = recent.map { join(it, changes) }
-        recent.clear()
-        recent.addAll(extended)
-        recent.addLast(changes)
-        while (recent.size > CHANGES_HELD || recent.sumOf { it.changes.changed.size } > OBJECTS_HELD) {
-            if (recent.size == 1) break
-            recent.removeFirst()
+    private fun recordChanges(changes: SealedChanges) {
+        val extended = recentChanges.map { combine(it, changes) }
+        recentChanges.clear()
+        recentChanges.addAll(extended)
+        recentChanges.addLast(changes)
+        while (recentChanges.size > MAX_RECENT_CHANGES || recentChanges.sumOf { it.changes.changed.size } > MAX_RECENT_OBJECTS) {
+            if (recentChanges.size == 1) break
+            recentChanges.removeFirst()
         }
     }
 
-    private fun join(
+    private fun combine(
         first: SealedChanges,
         second: SealedChanges,
     ): SealedChanges {
@@ -179,7 +190,7 @@
     }
 
     private companion object {
-        const val CHANGES_HELD = 32
-        const val OBJECTS_HELD = 4_000
+        const val MAX_RECENT_CHANGES = 32
+        const val MAX_RECENT_OBJECTS = 4_000
     }
 }
--- a/control/src/main/kotlin/lagoonrudder/control/ControlThread.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/ControlThread.kt
@@ -1,8 +1,8 @@
 /**
- * The one thread that runs every controller of a process.
+ * The thread that runs all controllers of a process.
  *
- * Traffic threads call [decide] and suspend until the decision is there. A block given to [decide] must not block: it
- * reads and changes control state and returns. How long blocks wait for the thread is measured by [lag].
+ * Traffic threads call [decide] and suspend until the result is available. A block passed to [decide] must not block: it
+ * reads and changes control state and returns. [lag] measures how long blocks wait for the thread.
  */
 package lagoonrudder.control
 
@@ -25,45 +25,45 @@
     private val clock: Clock,
     private val invariants: Invariants,
 ) : AutoCloseable {
-    private val longestWaitNanoseconds = AtomicLong()
+    private val maxWaitNanoseconds = AtomicLong()
     private val decisions = AtomicLong()
     private val busyNanoseconds = AtomicLong()
 
     /** Runs [block] on the control thread and returns its result. */
     suspend fun <T> decide(block: () -> T): T {
-        val asked = clock.elapsed()
+        val requestedAt = clock.elapsed()
         return withContext(dispatcher) {
-            val started = clock.elapsed()
-            note(started - asked)
+            val startedAt = clock.elapsed()
+            recordWait(startedAt - requestedAt)
             checkThread()
             val result = block()
-            busyNanoseconds.addAndGet((clock.elapsed() - started).inWholeNanoseconds)
+            busyNanoseconds.addAndGet((clock.elapsed() - startedAt).inWholeNanoseconds)
             result
         }
     }
 
-    /** The longest wait for the thread since the last call. */
-    fun lag(): Duration = longestWaitNanoseconds.getAndSet(0).nanoseconds
+    /** Returns the longest wait for the thread since the last call. */
+    fun lag(): Duration = maxWaitNanoseconds.getAndSet(0).nanoseconds
 
-    /** The number of decisions and the time spent in them since the start. */
-    fun work(): ControlWork = ControlWork(decisions.get(), busyNanoseconds.get().nanoseconds)
+    /** Returns the number of decisions since the start and the time spent in them. */
+    fun usage(): ControlThreadUsage = ControlThreadUsage(decisions.get(), busyNanoseconds.get().nanoseconds)
 
     override fun close() {
         if (dispatcher is ExecutorCoroutineDispatcher) dispatcher.close()
     }
 
-    private fun note(wait: Duration) {
+    private fun recordWait(wait: Duration) {
         decisions.incrementAndGet()
-        longestWaitNanoseconds.accumulateAndGet(wait.inWholeNanoseconds, ::maxOf)
+        maxWaitNanoseconds.accumulateAndGet(wait.inWholeNanoseconds, ::maxOf)
     }
 
     private fun checkThread() {
-        val holds =
+        val onControlThread =
             when (owner) {
                 ThreadOwner.Virtual -> true
                 is ThreadOwner.Named -> Thread.currentThread().name.startsWith(owner.name)
             }
-        invariants.check(holds, Invariant.CONTROL_THREAD_ONLY, Step.ADMIT) { "thread=${Thread.currentThread().name}" }
+        invariants.check(onControlThread, Invariant.CONTROL_THREAD_ONLY, Step.ADMIT) { "thread=${Thread.currentThread().name}" }
     }
 
     private sealed class ThreadOwner {
@@ -75,7 +75,7 @@
     }
 
     companion object {
-        /** A control thread of its own, named after [process]. */
+        /** Starts a dedicated thread named after [process]. */
         fun start(
             process: String,
             clock: Clock,
@@ -86,7 +86,7 @@
             return ControlThread(executor.asCoroutineDispatcher(), ThreadOwner.Named(name), clock, invariants)
         }
 
-        /** Decisions on [dispatcher], for virtual time; the dispatcher must run one task at a time. */
+        /** Runs decisions on [dispatcher], for virtual time; the dispatcher must run one task at a time. */
         fun virtual(
             dispatcher: CoroutineDispatcher,
             clock: Clock,
@@ -95,7 +95,8 @@
     }
 }
 
-data class ControlWork(
+/** The number of [decisions] and the [busy] time spent in them since the start of the process. */
+data class ControlThreadUsage(
     val decisions: Long,
     val busy: Duration,
 )
--- a/control/src/main/kotlin/lagoonrudder/control/DispatchController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/DispatchController.kt
@@ -1,8 +1,8 @@
 /**
- * Matches waiting requests with targets that have room.
+ * Matches queued requests with targets that have capacity.
  *
- * It is called whenever something changed: a request came, one ended, a target reported, time passed. What it decides is
- * returned, never called back.
+ * It is called on every relevant change: a request arrived or ended, a target reported, or time passed. It returns its
+ * decisions and makes no callbacks.
  */
 package lagoonrudder.control
 
@@ -13,124 +13,125 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-sealed class Dispatched {
+/** The outcome for a request that leaves its queue. */
+sealed class DispatchResult {
     abstract val request: RequestId
 
-    data class Go(
+    data class Forward(
         override val request: RequestId,
         val target: TargetId,
         val domain: DomainId,
-    ) : Dispatched()
+    ) : DispatchResult()
 
     data class Refused(
         override val request: RequestId,
         val refusal: Refusal,
-    ) : Dispatched()
+    ) : DispatchResult()
 }
 
 class DispatchController(
     private val admission: AdmissionController,
     private val routing: RoutingController,
 ) {
-    private class Asked(
-        val need: Need,
+    private class PendingRequest(
+        val routingRequest: RoutingRequest,
         val since: Duration,
     )
 
-    private val sent = mutableMapOf<RequestId, Duration>()
-    private val asked = mutableMapOf<RequestId, Asked>()
+    private val sentAt = mutableMapOf<RequestId, Duration>()
+    private val pending = mutableMapOf<RequestId, PendingRequest>()
 
-    /** Lets a new request into its line. */
-    fun enter(
-        waiting: Waiting,
-        need: Need,
+    /** Adds a new request to its queue. */
+    fun enqueue(
+        request: QueuedRequest,
+        routingRequest: RoutingRequest,
         now: Duration,
     ): QueueDecision {
-        val decision = admission.enter(waiting, now)
-        if (decision is QueueDecision.Queued) asked[waiting.id] = Asked(need, now)
+        val decision = admission.enqueue(request, now)
+        if (decision is QueueDecision.Queued) pending[request.id] = PendingRequest(routingRequest, now)
         return decision
     }
 
-    /** Lets a request that a target turned away or lost wait again, ahead of the others. */
-    fun reenter(
-        waiting: Waiting,
-        need: Need,
+    /** Puts a request that a target rejected or lost back at the head of its queue. */
+    fun requeue(
+        request: QueuedRequest,
+        routingRequest: RoutingRequest,
         now: Duration,
     ) {
-        admission.reenter(waiting)
-        asked[waiting.id] = Asked(need, now)
+        admission.requeue(request)
+        pending[request.id] = PendingRequest(routingRequest, now)
     }
 
-    /** The caller of [waiting] has gone. */
-    fun leave(waiting: Waiting) {
-        asked.remove(waiting.id)
-        admission.remove(waiting)
+    /** Removes [request] because its caller disconnected. */
+    fun cancelWaiting(request: QueuedRequest) {
+        pending.remove(request.id)
+        admission.remove(request)
     }
 
-    /** The request ended at [target], [heldBack] by its caller for a part of the time. */
-    fun ended(
-        waiting: Waiting,
+    /** The request ended at [target]; for [blockedByCaller] of the time a slow caller blocked its response. */
+    fun onRequestEnded(
+        request: QueuedRequest,
         target: TargetId,
         failed: Boolean,
-        heldBack: Duration,
+        blockedByCaller: Duration,
         now: Duration,
     ) {
-        routing.finished(target, failed, now)
-        val since = sent.remove(waiting.id) ?: return
-        if (!failed) admission.ended(waiting, (now - since - heldBack).coerceAtLeast(Duration.ZERO), now)
+        routing.onRequestFinished(target, failed, now)
+        val since = sentAt.remove(request.id) ?: return
+        if (!failed) admission.onRequestCompleted(request, (now - since - blockedByCaller).coerceAtLeast(Duration.ZERO), now)
     }
 
-    /** Sends off everyone for whom there is room and refuses those who have waited in vain. */
-    fun pump(now: Duration): List<Dispatched> {
-        val late = admission.expire(now).map { refuse(it, Refusal.TooLate(RETRY)) }
-        return late + admission.waitingLines().flatMap { pumpLine(it, now) }
+    /** Dispatches the queued requests for which a target has capacity, and rejects those that waited too long. */
+    fun dispatchWaiting(now: Duration): List<DispatchResult> {
+        val expired = admission.expire(now).map { refuse(it, Refusal.TooLate(RETRY)) }
+        return expired + admission.nonEmptyQueues().flatMap { dispatchQueue(it, now) }
     }
 
-    private fun pumpLine(
-        line: QueueLine,
+    private fun dispatchQueue(
+        queue: QueueKey,
         now: Duration,
-    ): List<Dispatched> {
-        val dispatched = mutableListOf<Dispatched>()
+    ): List<DispatchResult> {
+        val dispatched = mutableListOf<DispatchResult>()
         while (true) {
-            val head = admission.head(line) ?: return dispatched
-            dispatched += decide(head, now) ?: return dispatched
+            val next = admission.peek(queue) ?: return dispatched
+            dispatched += decide(next, now) ?: return dispatched
         }
     }
 
-    /** What becomes of [head] now; null when it must wait. */
+    /** Decides on [next], the first request of its queue; null if it must keep waiting. */
     private fun decide(
-        head: Waiting,
+        next: QueuedRequest,
         now: Duration,
-    ): Dispatched? {
-        val request = asked[head.id] ?: return drop(head)
-        return when (val choice = routing.choose(request.need, now)) {
-            is Choice.Chosen -> {
-                asked.remove(head.id)
-                admission.take(head)
-                sent[head.id] = now
-                Dispatched.Go(head.id, choice.target, choice.domain)
+    ): DispatchResult? {
+        val request = pending[next.id] ?: return drop(next)
+        return when (val routingDecision = routing.selectTarget(request.routingRequest, now)) {
+            is RoutingDecision.Selected -> {
+                pending.remove(next.id)
+                admission.dequeue(next)
+                sentAt[next.id] = now
+                DispatchResult.Forward(next.id, routingDecision.target, routingDecision.domain)
             }
-            Choice.NoRoom -> null
-            Choice.NoTarget -> if (now - request.since < PATIENCE) null else refuse(head, Refusal.NoTarget(RETRY))
+            RoutingDecision.NoCapacity -> null
+            RoutingDecision.NoTarget -> if (now - request.since < NO_TARGET_TIMEOUT) null else refuse(next, Refusal.NoTarget(RETRY))
         }
     }
 
     private fun refuse(
-        waiting: Waiting,
+        request: QueuedRequest,
         refusal: Refusal,
-    ): Dispatched {
-        drop(waiting)
-        return Dispatched.Refused(waiting.id, refusal)
+    ): DispatchResult {
+        drop(request)
+        return DispatchResult.Refused(request.id, refusal)
     }
 
-    private fun drop(waiting: Waiting): Dispatched? {
-        asked.remove(waiting.id)
-        admission.remove(waiting)
+    private fun drop(request: QueuedRequest): DispatchResult? {
+        pending.remove(request.id)
+        admission.remove(request)
         return null
     }
 
     private companion object {
-        val PATIENCE = 800.milliseconds
+        val NO_TARGET_TIMEOUT = 800.milliseconds
         val RETRY = 500.milliseconds
     }
 }
--- a/control/src/main/kotlin/lagoonrudder/control/Dump.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/Dump.kt
@@ -1,8 +1,9 @@
 /**
- * The readable state of a controller, for operators.
+ * The state of the controllers as text, for operators.
  */
 package lagoonrudder.control
 
+/** The state of one controller. */
 data class DumpSection(
     val controller: String,
     val entries: List<DumpEntry>,
@@ -13,7 +14,7 @@
     val value: String,
 )
 
-/** Builds a section from key and value pairs. */
+/** Builds the section of [controller] from key and value pairs. */
 fun dumpSection(
     controller: String,
     build: MutableList<DumpEntry>.() -> Unit,
@@ -26,7 +27,7 @@
     add(DumpEntry(key, value.toString()))
 }
 
-/** The sections as text: a header for each controller and one line for each entry. */
+/** Renders the sections as text: a header for each controller, followed by a line for each entry. */
 fun renderDump(sections: List<DumpSection>): String =
     sections.joinToString("\n") { section ->
         section.entries.joinToString("", prefix = "[${section.controller}]\n") { "${it.key} = ${it.value}\n" }
--- a/control/src/main/kotlin/lagoonrudder/control/EngineOrder.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/EngineOrder.kt
@@ -1,5 +1,5 @@
 /**
- * The orders that a target daemon gives to its engine, and how each ends.
+ * The orders that a target daemon sends to its engine, and their results.
  */
 package lagoonrudder.control
 
@@ -32,23 +32,24 @@
 }
 
 sealed class OrderResult {
+    /** The engine carried out the order. */
     data object Done : OrderResult()
 
-    /** The engine has seen a fencing number at or above that of the order. */
+    /** The engine rejected the order because it has seen the same or a higher fencing number. */
     data object Fenced : OrderResult()
 
-    /** The engine declined for a reason that a repeat won't change. */
+    /** The engine rejected the order for a reason that a retry won't change. */
     data class Declined(
         val detail: String,
     ) : OrderResult()
 
-    /** The order may take effect later or not at all. */
+    /** The result is unknown: the order may still take effect, or not at all. */
     data class Unknown(
         val detail: String,
     ) : OrderResult()
 }
 
-/** What an engine says of itself. [fencing] is null when it keeps no fencing number. */
+/** The state that an engine reports. [fencing] is null if the engine stores no fencing number. */
 data class EngineState(
     val incarnation: IncarnationId,
     val version: VersionId?,
--- a/control/src/main/kotlin/lagoonrudder/control/MembershipController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/MembershipController.kt
@@ -1,8 +1,9 @@
 /**
- * Decides which daemons this process takes for alive.
+ * Tracks which daemons exist and which of them this process considers alive.
  *
- * The platform's list lags, so it only says who may exist. Liveness comes from traffic and room reports: a failure raises
- * a suspicion that expires, and any sign of life ends it. What operators publish outranks both.
+ * The list of the platform lags behind, so it only tells which daemons may exist. Liveness is derived from traffic and from
+ * target reports: a failure raises a suspicion that expires, and any response clears it. The state that operators publish
+ * takes precedence over both.
  */
 package lagoonrudder.control
 
@@ -14,7 +15,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** What turns the list at generation [base] into that at [generation]. A [base] of zero means the whole list. */
+/** The changes from the list at generation [base] to the one at [generation]. A [base] of zero means the full list. */
 data class InstanceChanges(
     val base: Long,
     val generation: Long,
@@ -24,52 +25,52 @@
 
 class MembershipController(
     private val self: DaemonId,
-    private val suspicionLife: Duration = SUSPICION_LIFE,
+    private val suspicionTimeout: Duration = SUSPICION_TIMEOUT,
 ) {
     private var listed: Map<DaemonId, Instance> = emptyMap()
     private var generation = 0L
     private val suspectedUntil = mutableMapOf<DaemonId, Duration>()
     private val changedAt = mutableMapOf<DaemonId, Long>()
-    private var changesKnownFrom = Long.MAX_VALUE
+    private var oldestKnownBase = Long.MAX_VALUE
 
-    /** Takes over a whole list; one that is not newer is passed over. Returns whether it was newer. */
+    /** Replaces the list unless the offered one is not newer. Returns whether it was newer. */
     fun replaceList(
         instances: List<Instance>,
         offeredGeneration: Long,
     ): Boolean {
         if (offeredGeneration <= generation) return false
-        val next = instances.associateBy { it.daemon }
-        val changed = (listed.keys + next.keys).filter { listed[it] != next[it] }
-        if (generation == 0L) changesKnownFrom = offeredGeneration else changed.forEach { changedAt[it] = offeredGeneration }
-        adopt(next, offeredGeneration)
+        val instancesByDaemon = instances.associateBy { it.daemon }
+        val changed = (listed.keys + instancesByDaemon.keys).filter { listed[it] != instancesByDaemon[it] }
+        if (generation == 0L) oldestKnownBase = offeredGeneration else changed.forEach { changedAt[it] = offeredGeneration }
+        replace(instancesByDaemon, offeredGeneration)
         return true
     }
 
-    /** Takes over changes from a peer; false when they don't start at or before what this process has, or bring nothing. */
+    /** Applies changes from a peer. Returns false if they start after the local generation or contain nothing new. */
     fun apply(changes: InstanceChanges): Boolean {
         if (changes.generation <= generation || changes.base > generation) return false
-        val next = listed - changes.removed.toSet() + changes.changed.associateBy { it.daemon }
-        return replaceList(next.values.toList(), changes.generation)
+        val instancesByDaemon = listed - changes.removed.toSet() + changes.changed.associateBy { it.daemon }
+        return replaceList(instancesByDaemon.values.toList(), changes.generation)
     }
 
-    /** What changed after [base]: the whole list when this process doesn't know. Null when nothing did. */
+    /** Returns the changes since [base], the full list if they are no longer known, or null if nothing changed. */
     fun changesSince(base: Long): InstanceChanges? {
         if (base >= generation) return null
-        if (base < changesKnownFrom) return InstanceChanges(0, generation, listed.values.toList(), emptyList())
+        if (base < oldestKnownBase) return InstanceChanges(0, generation, listed.values.toList(), emptyList())
         val daemons = changedAt.filterValues { it > base }.keys
         return InstanceChanges(base, generation, daemons.mapNotNull { listed[it] }, daemons.filter { it !in listed })
     }
 
-    private fun adopt(
-        next: Map<DaemonId, Instance>,
+    private fun replace(
+        instancesByDaemon: Map<DaemonId, Instance>,
         offeredGeneration: Long,
     ) {
         generation = offeredGeneration
-        listed = next
-        suspectedUntil.keys.retainAll(next.keys)
-        val oldest = changedAt.values.sortedDescending().getOrNull(CHANGES_HELD) ?: return
+        listed = instancesByDaemon
+        suspectedUntil.keys.retainAll(instancesByDaemon.keys)
+        val oldest = changedAt.values.sortedDescending().getOrNull(MAX_CHANGES) ?: return
         changedAt.values.removeIf { it <= oldest }
-        changesKnownFrom = maxOf(changesKnownFrom, oldest)
+        oldestKnownBase = maxOf(oldestKnownBase, oldest)
     }
 
     fun generation(): Long = generation
@@ -78,16 +79,16 @@
 
     fun instance(daemon: DaemonId): Instance? = listed[daemon]
 
-    /** A connection to [daemon] failed or went silent. */
+    /** Suspects [daemon] because a connection to it failed or timed out. */
     fun suspect(
         daemon: DaemonId,
         now: Duration,
     ) {
-        suspectedUntil[daemon] = now + suspicionLife
+        suspectedUntil[daemon] = now + suspicionTimeout
     }
 
-    /** [daemon] answered. */
-    fun alive(daemon: DaemonId) {
+    /** Clears the suspicion of [daemon] because it responded. */
+    fun clearSuspicion(daemon: DaemonId) {
         suspectedUntil.remove(daemon)
     }
 
@@ -96,8 +97,8 @@
         now: Duration,
     ): Boolean = (suspectedUntil[daemon] ?: Duration.ZERO) > now
 
-    /** The daemons of [domain] that are listed, not leaving and not suspected; always with this process itself. */
-    fun live(
+    /** Returns the daemons of [domain] that are listed, not leaving and not suspected, and always this process itself. */
+    fun liveDaemons(
         domain: DomainId,
         now: Duration,
     ): List<DaemonId> {
@@ -108,21 +109,21 @@
         return others + self
     }
 
-    /** The daemon in the slot beside [target], or null when none is listed; a leaving one is passed over for a newer one. */
+    /** Returns the daemon of [target], or null if none is listed. A daemon that isn't leaving is preferred to one that is. */
     fun daemonOf(target: TargetId): Instance? {
         val candidates = listed.values.filter { it.role == DaemonRole.TARGET && it.target == target }
         return candidates.firstOrNull { !it.leaving } ?: candidates.firstOrNull()
     }
 
-    /** All target daemons by target; where two are listed for one target the one that isn't leaving counts. */
+    /** Returns all target daemons by target. A daemon that isn't leaving is preferred to one that is. */
     fun targetDaemons(): Map<TargetId, Instance> {
-        val found = mutableMapOf<TargetId, Instance>()
+        val byTarget = mutableMapOf<TargetId, Instance>()
         for (instance in listed.values) {
             val target = instance.target ?: continue
-            val known = found[target]
-            if (known == null || known.leaving) found[target] = instance
+            val existing = byTarget[target]
+            if (existing == null || existing.leaving) byTarget[target] = instance
         }
-        return found
+        return byTarget
     }
 
     fun dump(now: Duration): DumpSection =
@@ -134,7 +135,7 @@
         }
 
     private companion object {
-        val SUSPICION_LIFE = 3.seconds
-        const val CHANGES_HELD = 2_000
+        val SUSPICION_TIMEOUT = 3.seconds
+        const val MAX_CHANGES = 2_000
     }
 }
--- a/control/src/main/kotlin/lagoonrudder/control/PrefixMemory.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/PrefixAffinity.kt
@@ -1,39 +1,40 @@
 /**
- * Which target lately served which prompt prefix.
+ * Records which target last served a prompt prefix.
  *
- * The engines' own cache events come late and with gaps, so this memory is a guess that only adds a bonus to a choice.
+ * The cache events of the engines arrive late and with gaps, so these records are only a hint, used as a bonus in the
+ * selection of a target.
  */
 package lagoonrudder.control
 
 import lagoonrudder.model.TargetId
 
-internal class PrefixMemory(
-    private val most: Int = 10_000,
+internal class PrefixAffinity(
+    private val maxPrefixes: Int = 10_000,
 ) {
-    private val targets =
+    private val targetByPrefix =
         object : LinkedHashMap<Int, TargetId>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
-            override fun removeEldestEntry(eldest: MutableMap.MutableEntry<Int, TargetId>): Boolean = size > most
+            override fun removeEldestEntry(eldest: MutableMap.MutableEntry<Int, TargetId>): Boolean = size > maxPrefixes
         }
 
-    val size: Int get() = targets.size
+    val size: Int get() = targetByPrefix.size
 
     fun remember(
         prefix: Int,
         target: TargetId,
     ) {
-        targets[prefix] = target
+        targetByPrefix[prefix] = target
     }
 
     fun isWarm(
         prefix: Int,
         target: TargetId,
-    ): Boolean = targets[prefix] == target
+    ): Boolean = targetByPrefix[prefix] == target
 
     fun forget(
         target: TargetId,
         dropped: Collection<Int>,
     ) {
-        dropped.forEach { if (targets[it] == target) targets.remove(it) }
+        dropped.forEach { if (targetByPrefix[it] == target) targetByPrefix.remove(it) }
     }
 
     private companion object {
@@ -44,5 +45,5 @@
 
 private const val PREFIX_CHARACTERS = 256
 
-/** The prefix of [prompt] that engines may hold in their caches, as a hash. */
+/** Returns a hash of the prefix of [prompt] that engines may hold in their prefix caches. */
 fun prefixOf(prompt: String): Int = prompt.take(PREFIX_CHARACTERS).hashCode()
--- a/control/src/main/kotlin/lagoonrudder/control/RetryBudget.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/RetryBudget.kt
@@ -1,22 +1,23 @@
 /**
- * A budget that keeps retries to a share of first attempts.
+ * A budget that limits retries to a share of first attempts.
  */
 package lagoonrudder.control
 
 import kotlin.math.min
 
-/** Each first attempt earns [share] of a retry; at most [most] retries are saved up. */
+/** Each first attempt adds [share] of a retry to the budget, up to [maxRetries] retries. */
 class RetryBudget(
     private val share: Double = 0.1,
-    private val most: Double = 20.0,
+    private val maxRetries: Double = 20.0,
 ) {
-    private var saved = most / 2
+    private var saved = maxRetries / 2
 
-    fun attempted() {
-        saved = min(saved + share, most)
+    /** Adds the share of one first attempt to the budget. */
+    fun onFirstAttempt() {
+        saved = min(saved + share, maxRetries)
     }
 
-    /** Takes one retry from the budget; false when there is none. */
+    /** Takes one retry from the budget; returns false if less than one is left. */
     fun spend(): Boolean {
         if (saved < 1.0) return false
         saved -= 1.0
--- a/control/src/main/kotlin/lagoonrudder/control/RoutingController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/RoutingController.kt
@@ -1,9 +1,10 @@
 /**
- * Decides at an entry daemon which target gets a request.
+ * Selects a target for each request at an entry daemon.
  *
- * It keeps what each target last reported and what this process has sent since. Reports age: a target without a fresh
- * report gets one request at a time. Targets that fail several times in a row are set aside for a time that grows, then tried with one request.
- * Other failure domains are used when the own one has no room, within a budget for the link and for their room.
+ * It keeps the last report of each target and counts what this process has sent since. Reports expire: a target without
+ * a fresh report gets one request at a time. A target that fails several times in a row is ejected for a period that
+ * grows with each further failure, then probed with one request. If no target in the local failure domain has capacity,
+ * requests spill over to other failure domains, within a budget for the link and for the capacity of the remote targets.
  */
 package lagoonrudder.control
 
@@ -20,32 +21,42 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** How a target is chosen among those that may serve. */
-sealed class ChoicePolicy {
-    /** Each in turn, whatever its load: a baseline. */
-    data object RoundRobin : ChoicePolicy()
-
-    /** The one with the fewest requests of this process, whatever others send: a baseline. */
-    data object LeastInFlight : ChoicePolicy()
-
-    /** The one with more room of [choices] drawn at random; a known prompt prefix counts as [prefixBonus] of room. */
+/** How a target is selected among those that may serve a request. */
+sealed class LoadBalancingPolicy {
+    /** Takes the targets in turn, regardless of their load; a baseline for comparison. */
+    data object RoundRobin : LoadBalancingPolicy()
+
+    /**
+     * Takes the target with the fewest in-flight requests of this process, regardless of what other processes send; a
+     * baseline for comparison.
+     */
+    data object LeastInFlight : LoadBalancingPolicy()
+
+    /**
+     * Takes the target with the largest fraction of free slots among [choices] random samples. A target that recently served
+     * the prompt prefix is sampled as well, and [prefixBonus] is added to its fraction.
+     */
     data class FreshRoom(
         val choices: Int = 2,
         val prefixBonus: Double = 0.25,
-    ) : ChoicePolicy()
+    ) : LoadBalancingPolicy()
 }
 
-/** What a target daemon tells of itself. */
+/** The state that a target daemon reports to entry daemons. */
 data class TargetReport(
     val target: TargetId,
     val incarnation: IncarnationId,
-    val room: Room,
+    val load: TargetLoad,
     val version: VersionId?,
     val accepting: Boolean,
 )
 
-/** What a request needs of a target. [bytes] is what it may carry over a link, body and answer together. */
-data class Need(
+/**
+ * What a request requires of its target. [owner] is the only possible target when it is set. [tokens] is the memory that the
+ * request may need, and [bytes] bounds what it transfers over a link, body and response together. [prefix] is the hash of
+ * the prompt prefix, and [excluded] are targets that must not be selected.
+ */
+data class RoutingRequest(
     val fleet: FleetId,
     val owner: TargetId?,
     val tokens: Long,
@@ -54,23 +65,23 @@
     val excluded: Set<TargetId>,
 )
 
-sealed class Choice {
-    data class Chosen(
+sealed class RoutingDecision {
+    data class Selected(
         val target: TargetId,
         val domain: DomainId,
-    ) : Choice()
+    ) : RoutingDecision()
 
-    /** Some target may serve it later. */
-    data object NoRoom : Choice()
+    /** No target has capacity now, but at least one candidate is connected. */
+    data object NoCapacity : RoutingDecision()
 
-    /** No target in service can be reached. */
-    data object NoTarget : Choice()
+    /** No candidate is in service and connected. */
+    data object NoTarget : RoutingDecision()
 }
 
 class RoutingController(
     private val self: String,
     private val domain: DomainId,
-    private val policy: ChoicePolicy,
+    private val policy: LoadBalancingPolicy,
     private val random: Random,
     private val subsetSize: Int = 16,
     private val remoteSubsetSize: Int = 2,
@@ -81,26 +92,29 @@
         var ownInFlight = 0
         var sentSinceReport = 0
         var failures = 0
-        var asideUntil = -Duration.INFINITE
-        var linked = false
+        var ejectedUntil = -Duration.INFINITE
+        var connected = false
     }
 
     private val states = mutableMapOf<TargetId, TargetState>()
-    private val prefixes = PrefixMemory()
+    private val prefixes = PrefixAffinity()
     private val spillBudgets = mutableMapOf<DomainId, TokenBucket>()
     private var objects = ObjectSet.EMPTY
     private var subsets: Map<FleetId, List<OperatorObject.Target>> = emptyMap()
-    private var sharing = 1
-    private var turn = 0
+    private var entryDaemons = 1
+    private var roundRobinIndex = 0
     private var spills = 0L
 
-    /** Takes over a set that came into force; [entries] is the number of entry daemons that share this domain's links. */
+    /**
+     * Applies the object set that became active. [entries] is the number of entry daemons that share the links and targets of
+     * this failure domain.
+     */
     fun configure(
         set: ObjectSet,
         entries: Int,
     ) {
         objects = set
-        sharing = entries.coerceAtLeast(1)
+        entryDaemons = entries.coerceAtLeast(1)
         subsets = set.fleets.keys.associateWith { subsetOf(set.targetsOf[it].orEmpty()) }
         states.keys.retainAll(set.targets.keys)
         set.domains.keys
@@ -108,10 +122,10 @@
             .forEach { configureSpill(it, entries.coerceAtLeast(1)) }
     }
 
-    /** The targets whose reports this process should receive. */
+    /** Returns the targets whose reports this process should subscribe to. */
     fun subset(): List<OperatorObject.Target> = subsets.values.flatten().filter(objects::inService)
 
-    fun reported(
+    fun onTargetReport(
         report: TargetReport,
         now: Duration,
     ) {
@@ -119,65 +133,65 @@
         state.report = report
         state.reportedAt = now
         state.sentSinceReport = 0
-        state.linked = true
+        state.connected = true
     }
 
-    /** An answer or a refusal of [target] told its room. */
-    fun roomSeen(
+    /** A response or a rejection of [target] carried its current load. */
+    fun onLoadUpdate(
         target: TargetId,
-        room: Room,
+        load: TargetLoad,
         now: Duration,
     ) {
         val state = states[target] ?: return
         val report = state.report ?: return
-        state.report = report.copy(room = room)
+        state.report = report.copy(load = load)
         state.reportedAt = now
         state.sentSinceReport = 0
     }
 
-    /** The connection that carries reports of [target] broke or went silent. */
-    fun unlinked(target: TargetId) {
+    /** The connection that carries the reports of [target] failed or timed out. */
+    fun onDisconnected(target: TargetId) {
         val state = states[target] ?: return
-        state.linked = false
+        state.connected = false
         state.report = null
     }
 
-    /** Chooses a target and counts the request as sent to it; [finished] must follow. */
-    fun choose(
-        need: Need,
+    /** Selects a target and counts the request as in flight there; [onRequestFinished] or [onRejected] must follow. */
+    fun selectTarget(
+        request: RoutingRequest,
         now: Duration,
-    ): Choice {
-        val candidates = candidates(need)
-        if (candidates.isEmpty()) return Choice.NoTarget
-        val near = candidates.filter { it.domain == domain }
-        val chosen = pick(near, need, now) ?: spill(candidates - near.toSet(), near, need, now) ?: return noneFree(candidates)
+    ): RoutingDecision {
+        val candidates = candidates(request)
+        if (candidates.isEmpty()) return RoutingDecision.NoTarget
+        val local = candidates.filter { it.domain == domain }
+        val chosen = pick(local, request, now) ?: spill(candidates - local.toSet(), local, request, now) ?: return noSelection(candidates)
         val state = stateOf(chosen.id)
         state.ownInFlight++
         state.sentSinceReport++
-        need.prefix?.let { prefixes.remember(it, chosen.id) }
-        return Choice.Chosen(chosen.id, chosen.domain)
+        request.prefix?.let { prefixes.remember(it, chosen.id) }
+        return RoutingDecision.Selected(chosen.id, chosen.domain)
     }
 
-    /** The request that [choose] counted has ended at [target]; [failed] when the target, not the request, was at fault. */
-    fun finished(
+    /** A request counted by [selectTarget] ended at [target]; [failed] if the target, not the request, was at fault. */
+    fun onRequestFinished(
         target: TargetId,
         failed: Boolean,
         now: Duration,
     ) {
         val state = stateOf(target)
         state.ownInFlight = (state.ownInFlight - 1).coerceAtLeast(0)
-        if (failed) setAside(state, now) else state.failures = 0
+        if (failed) recordFailure(state, now) else state.failures = 0
     }
 
-    /** The target turned a request away without running it: its room is gone until it reports again. */
-    fun turnedAway(target: TargetId) {
+    /** The target rejected a request without running it, so it counts as full until its next report. */
+    fun onRejected(target: TargetId) {
         val state = stateOf(target)
         state.ownInFlight = (state.ownInFlight - 1).coerceAtLeast(0)
-        state.report = state.report?.let { it.copy(room = it.room.copy(inFlight = it.room.limit)) }
+        state.report = state.report?.let { it.copy(load = it.load.copy(inFlight = it.load.limit)) }
     }
 
-    /** The engine of [target] dropped these prompt prefixes from its cache. */
-    fun forgetPrefixes(
+    /** The engine of [target] evicted the prompt prefixes [dropped] from its cache. */
+    fun onPrefixesEvicted(
         target: TargetId,
         dropped: Collection<Int>,
     ) = prefixes.forget(target, dropped)
@@ -192,8 +206,8 @@
 
     private fun subsetOf(targets: List<OperatorObject.Target>): List<OperatorObject.Target> {
         val byDomain = targets.groupBy { it.domain }
-        return byDomain.flatMap { (home, members) ->
-            val size = if (home == domain) subsetSize else remoteSubsetSize
+        return byDomain.flatMap { (memberDomain, members) ->
+            val size = if (memberDomain == domain) subsetSize else remoteSubsetSize
             rendezvousOrder(self, members) { it.id.text }.take(size)
         }
     }
@@ -202,18 +216,18 @@
         other: DomainId,
         entries: Int,
     ) {
-        val mine = objects.regionOf(domain)
-        val theirs = objects.regionOf(other)
-        val link = if (mine != null && theirs != null) objects.link(mine, theirs) else null
-        val rate = (link?.bytesPerSecond ?: UNLIMITED_BYTES) * SPILL_SHARE / entries
+        val ownRegion = objects.regionOf(domain)
+        val otherRegion = objects.regionOf(other)
+        val link = if (ownRegion != null && otherRegion != null) objects.link(ownRegion, otherRegion) else null
+        val rate = (link?.bytesPerSecond ?: UNLIMITED_BYTES_PER_SECOND) * SPILL_SHARE / entries
         val bucket = spillBudgets.getOrPut(other) { TokenBucket(rate, rate * SPILL_BURST_SECONDS) }
         bucket.configure(rate, rate * SPILL_BURST_SECONDS)
     }
 
-    private fun candidates(need: Need): List<OperatorObject.Target> {
-        if (need.owner != null) return listOfNotNull(objects.targets[need.owner]).filter(objects::inService)
-        val fleet = objects.fleets[need.fleet] ?: return emptyList()
-        return subsets[need.fleet].orEmpty().filter { it.id !in need.excluded && objects.inService(it) && mayServe(it, fleet) }
+    private fun candidates(request: RoutingRequest): List<OperatorObject.Target> {
+        if (request.owner != null) return listOfNotNull(objects.targets[request.owner]).filter(objects::inService)
+        val fleet = objects.fleets[request.fleet] ?: return emptyList()
+        return subsets[request.fleet].orEmpty().filter { it.id !in request.excluded && objects.inService(it) && mayServe(it, fleet) }
     }
 
     private fun mayServe(
@@ -226,110 +240,113 @@
 
     private fun pick(
         candidates: List<OperatorObject.Target>,
-        need: Need,
+        request: RoutingRequest,
         now: Duration,
     ): OperatorObject.Target? {
-        val free = candidates.filter { hasRoom(it.id, need.tokens, now) }
+        val free = candidates.filter { hasCapacity(it.id, request.tokens, now) }
         if (free.isEmpty()) return null
         return when (policy) {
-            ChoicePolicy.RoundRobin -> free[turn++ % free.size]
-            ChoicePolicy.LeastInFlight -> free.minBy { stateOf(it.id).ownInFlight }
-            is ChoicePolicy.FreshRoom -> pickFresh(policy, free, need, now)
+            LoadBalancingPolicy.RoundRobin -> free[roundRobinIndex++ % free.size]
+            LoadBalancingPolicy.LeastInFlight -> free.minBy { stateOf(it.id).ownInFlight }
+            is LoadBalancingPolicy.FreshRoom -> pickByFreeSlots(policy, free, request, now)
         }
     }
 
-    private fun pickFresh(
-        policy: ChoicePolicy.FreshRoom,
+    private fun pickByFreeSlots(
+        policy: LoadBalancingPolicy.FreshRoom,
         free: List<OperatorObject.Target>,
-        need: Need,
+        request: RoutingRequest,
         now: Duration,
     ): OperatorObject.Target {
-        val warm = need.prefix?.let { prefix -> free.firstOrNull { prefixes.isWarm(prefix, it.id) } }
-        val drawn = free.shuffled(random).take(policy.choices) + listOfNotNull(warm)
-        return drawn.maxBy { freeShare(it.id, now) + if (it == warm) policy.prefixBonus else 0.0 }
+        val warm = request.prefix?.let { prefix -> free.firstOrNull { prefixes.isWarm(prefix, it.id) } }
+        val sampled = free.shuffled(random).take(policy.choices) + listOfNotNull(warm)
+        return sampled.maxBy { freeFraction(it.id, now) + if (it == warm) policy.prefixBonus else 0.0 }
     }
 
     private fun spill(
-        far: List<OperatorObject.Target>,
-        near: List<OperatorObject.Target>,
-        need: Need,
+        remote: List<OperatorObject.Target>,
+        local: List<OperatorObject.Target>,
+        request: RoutingRequest,
         now: Duration,
     ): OperatorObject.Target? {
-        val reported = far.filter { isFresh(stateOf(it.id), now) && spillRoom(it.id) }
-        val chosen = pick(reported, need, now) ?: return null
+        val freshRemote = remote.filter { isFresh(stateOf(it.id), now) && hasSpillCapacity(it.id) }
+        val chosen = pick(freshRemote, request, now) ?: return null
         val budget = spillBudgets[chosen.domain] ?: return null
-        val ownGone = near.isEmpty() || near.all { isAside(stateOf(it.id), now) }
-        if (need.owner == null && !ownGone && !budget.take(need.bytes.toDouble(), now)) return null
+        val localUnavailable = local.isEmpty() || local.all { isEjected(stateOf(it.id), now) }
+        if (request.owner == null && !localUnavailable && !budget.tryTake(request.bytes.toDouble(), now)) return null
         spills++
         return chosen
     }
 
-    /** Neighbours keep half of their room for their own callers. */
-    private fun spillRoom(target: TargetId): Boolean {
+    /** Remote targets keep half of their capacity for the callers of their own failure domain. */
+    private fun hasSpillCapacity(target: TargetId): Boolean {
         val report = stateOf(target).report ?: return false
-        return report.room.inFlight + stateOf(target).sentSinceReport < (report.room.limit + 1) / 2
+        return report.load.inFlight + stateOf(target).sentSinceReport < (report.load.limit + 1) / 2
     }
 
-    private fun hasRoom(
+    private fun hasCapacity(
         target: TargetId,
         tokens: Long,
         now: Duration,
     ): Boolean {
         val state = stateOf(target)
-        if (isAside(state, now)) return false
-        val ignoresRoom = policy !is ChoicePolicy.FreshRoom
-        if (ignoresRoom) return true
-        if (!isFresh(state, now) || state.failures >= FAILURES_ALLOWED) return state.ownInFlight == 0
+        if (isEjected(state, now)) return false
+        val ignoresLoad = policy !is LoadBalancingPolicy.FreshRoom
+        if (ignoresLoad) return true
+        if (!isFresh(state, now) || state.failures >= EJECTION_THRESHOLD) return state.ownInFlight == 0
         val report = state.report ?: return false
-        val entitled = state.ownInFlight < ownShare(target, report.room)
-        return (freeSlots(state) > 0 && report.room.freeTokens >= tokens) || entitled
+        val withinFairShare = state.ownInFlight < fairShare(target, report.load)
+        return (freeSlots(state) > 0 && report.load.freeTokens >= tokens) || withinFairShare
     }
 
-    /** What this process may have at a near target whatever others have there; the target lets it wait for its turn. */
-    private fun ownShare(
+    /**
+     * The in-flight requests that this process may always have at a local target, regardless of what others have there. A
+     * target that is full lets such a request wait for its turn.
+     */
+    private fun fairShare(
         target: TargetId,
-        room: Room,
-    ): Int = if (objects.targets[target]?.domain == domain) (room.limit / sharing).coerceAtLeast(minOf(1, room.limit)) else 0
+        load: TargetLoad,
+    ): Int = if (objects.targets[target]?.domain == domain) (load.limit / entryDaemons).coerceAtLeast(minOf(1, load.limit)) else 0
 
-    private fun freeShare(
+    private fun freeFraction(
         target: TargetId,
         now: Duration,
     ): Double {
         val state = stateOf(target)
         val report = state.report
         if (report == null || !isFresh(state, now)) return 0.0
-        return freeSlots(state).toDouble() / report.room.limit.coerceAtLeast(1)
+        return freeSlots(state).toDouble() / report.load.limit.coerceAtLeast(1)
     }
 
     private fun freeSlots(state: TargetState): Int {
-        val room = state.report?.room ?: return 0
-        return room.limit - maxOf(room.inFlight + state.sentSinceReport, state.ownInFlight)
+        val load = state.report?.load ?: return 0
+        return load.limit - maxOf(load.inFlight + state.sentSinceReport, state.ownInFlight)
     }
 
     private fun isFresh(
         state: TargetState,
         now: Duration,
-    ): Boolean = state.report != null && now - state.reportedAt < REPORT_LIFE
+    ): Boolean = state.report != null && now - state.reportedAt < MAX_REPORT_AGE
 
-    private fun isAside(
+    private fun isEjected(
         state: TargetState,
         now: Duration,
-    ): Boolean = now < state.asideUntil
+    ): Boolean = now < state.ejectedUntil
 
-    private fun setAside(
+    private fun recordFailure(
         state: TargetState,
         now: Duration,
     ) {
         state.failures++
-        if (state.failures < FAILURES_ALLOWED) return
-        val doublings = (state.failures - FAILURES_ALLOWED).coerceAtMost(MOST_DOUBLINGS)
-        state.asideUntil = now + FIRST_ASIDE * (1 shl doublings)
+        if (state.failures < EJECTION_THRESHOLD) return
+        val doublings = (state.failures - EJECTION_THRESHOLD).coerceAtMost(MAX_DOUBLINGS)
+        state.ejectedUntil = now + INITIAL_EJECTION * (1 shl doublings)
         state.report = null
     }
 
-    private fun noneFree(candidates: List<OperatorObject.Target>): Choice {
-        val reachable = candidates.any { stateOf(it.id).linked }
-        return if (reachable) Choice.NoRoom else Choice.NoTarget
+    private fun noSelection(candidates: List<OperatorObject.Target>): RoutingDecision {
+        val reachable = candidates.any { stateOf(it.id).connected }
+        return if (reachable) RoutingDecision.NoCapacity else RoutingDecision.NoTarget
     }
 
     private fun stateOf(target: TargetId): TargetState = states.getOrPut(target) { TargetState() }
@@ -339,21 +356,21 @@
         now: Duration,
     ): String {
         val report = state.report
-        val room = report?.room
+        val load = report?.load
         val age = if (report == null) "none" else (now - state.reportedAt).toString()
-        return "limit=${room?.limit} in-flight=${room?.inFlight} own=${state.ownInFlight} version=${report?.version?.text} " +
-            "accepting=${report?.accepting} report-age=$age failures=${state.failures} aside=${isAside(state, now)}"
+        return "limit=${load?.limit} in-flight=${load?.inFlight} own=${state.ownInFlight} version=${report?.version?.text} " +
+            "accepting=${report?.accepting} report-age=$age failures=${state.failures} aside=${isEjected(state, now)}"
     }
 
     private companion object {
-        val REPORT_LIFE = 3.seconds
-        val FIRST_ASIDE = 250.milliseconds
-        const val MOST_DOUBLINGS = 5
+        val MAX_REPORT_AGE = 3.seconds
+        val INITIAL_EJECTION = 250.milliseconds
+        const val MAX_DOUBLINGS = 5
 
-        /** Failures in a row after which a target is set aside; fewer are the lot of single requests. */
-        const val FAILURES_ALLOWED = 3
+        /** Consecutive failures after which a target is ejected. Fewer can be caused by individual requests. */
+        const val EJECTION_THRESHOLD = 3
         const val SPILL_SHARE = 0.4
         const val SPILL_BURST_SECONDS = 2.0
-        const val UNLIMITED_BYTES = 1_000_000_000L
+        const val UNLIMITED_BYTES_PER_SECOND = 1_000_000_000L
     }
 }
--- a/control/src/main/kotlin/lagoonrudder/control/TokenBucket.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/TokenBucket.kt
@@ -1,5 +1,5 @@
 /**
- * A rate limit with a burst, in any unit.
+ * A rate limiter that allows bursts, in any unit.
  */
 package lagoonrudder.control
 
@@ -8,15 +8,15 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-/** Fills at [ratePerSecond] up to [burst]; starts full. */
+/** A token bucket that starts full and refills at [ratePerSecond] up to [burst]. */
 class TokenBucket(
     private var ratePerSecond: Double,
     private var burst: Double,
 ) {
     private var level = burst
-    private var filledAt = Duration.ZERO
+    private var refilledAt = Duration.ZERO
 
-    /** Changes the rate and the burst; what is saved beyond the new burst is lost. */
+    /** Changes the rate and the burst; tokens beyond the new burst are discarded. */
     fun configure(
         ratePerSecond: Double,
         burst: Double,
@@ -26,35 +26,38 @@
         level = min(level, burst)
     }
 
-    /** Takes [amount] if it is there. An amount above the burst passes when the bucket is full and leaves it in debt. */
-    fun take(
+    /**
+     * Takes [amount] and returns true if it is available. An amount above the burst is granted when the bucket is full, and
+     * leaves the level negative.
+     */
+    fun tryTake(
         amount: Double,
         now: Duration,
     ): Boolean {
-        fill(now)
+        refill(now)
         if (level < min(amount, burst)) return false
         level -= amount
         return true
     }
 
-    /** Gives back what was taken for something that did not happen. */
-    fun giveBack(amount: Double) {
+    /** Returns tokens that were taken but not used. */
+    fun refund(amount: Double) {
         level = min(burst, level + amount)
     }
 
-    /** How long until [take] of [amount] can pass. */
-    fun wait(
+    /** Returns the time until [tryTake] of [amount] can succeed. */
+    fun waitTime(
         amount: Double,
         now: Duration,
     ): Duration {
-        fill(now)
+        refill(now)
         val missing = min(amount, burst) - level
         return if (missing <= 0) Duration.ZERO else (missing / ratePerSecond).seconds
     }
 
-    private fun fill(now: Duration) {
-        val passed = (now - filledAt).toDouble(DurationUnit.SECONDS)
-        level = min(burst, level + passed * ratePerSecond)
-        filledAt = now
+    private fun refill(now: Duration) {
+        val elapsed = (now - refilledAt).toDouble(DurationUnit.SECONDS)
+        level = min(burst, level + elapsed * ratePerSecond)
+        refilledAt = now
     }
 }
--- a/control/src/main/kotlin/lagoonrudder/control/UploadController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/UploadController.kt
@@ -1,5 +1,5 @@
 /**
- * Decides whether a caller's body may be read, within one budget of bytes for the process.
+ * Limits the memory for request bodies to one budget for the process.
  */
 package lagoonrudder.control
 
@@ -9,14 +9,14 @@
     private var held = 0L
     private var refused = 0L
 
-    /** Reserves [bytes]; false when the budget has no room for them. */
+    /** Reserves [bytes]; returns false if they exceed the budget. */
     fun open(bytes: Long): Boolean {
         val fits = held + bytes <= budget
         if (fits) held += bytes else refused++
         return fits
     }
 
-    /** Gives back what [open] reserved. */
+    /** Releases bytes that [open] reserved. */
     fun close(bytes: Long) {
         held -= bytes
     }
--- a/control/src/test/kotlin/lagoonrudder/control/WeightPlanTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/ChunkSourcePlanTest.kt
@@ -13,41 +13,41 @@
 
 private const val CHUNKS = 120
 private val version = VersionId("v")
-private val home = RegionId("r0")
+private val originRegion = RegionId("r0")
 
 /** Three regions of two failure domains with four holders each. */
 private val holders =
-    (0 until 24).map { Holder(DaemonId("d$it"), DomainId("domain-${it / 4}"), RegionId("r${it / 8}")) }
+    (0 until 24).map { WeightHolder(DaemonId("d$it"), DomainId("domain-${it / 4}"), RegionId("r${it / 8}")) }
 
 private fun firstSource(
-    holder: Holder,
+    holder: WeightHolder,
     chunk: Int,
-) = WeightPlan(SourcePolicy.Striped, version, holder, holders, home, CHUNKS).sources(ChunkIndex(chunk)).first()
+) = ChunkSourcePlan(SourcePolicy.Striped, version, holder, holders, originRegion, CHUNKS).sources(ChunkIndex(chunk)).first()
 
-class WeightPlanTest :
+class ChunkSourcePlanTest :
     FunSpec({
-        test("exactly one holder draws each chunk from the origin, in the origin's region") {
+        test("exactly one holder fetches each chunk from the origin, in the origin's region") {
             for (chunk in 0 until CHUNKS) {
-                val drawers = holders.filter { firstSource(it, chunk) == ChunkSource.Origin }
-                drawers shouldHaveSize 1
-                drawers.single().region shouldBe home
+                val fetchers = holders.filter { firstSource(it, chunk) == ChunkSource.Origin }
+                fetchers shouldHaveSize 1
+                fetchers.single().region shouldBe originRegion
             }
         }
 
-        test("each other region draws each chunk over one link only, half of them from the origin's region") {
+        test("each other region fetches each chunk over one link only, about half of them from the origin's region") {
             for (region in listOf(RegionId("r1"), RegionId("r2"))) {
-                var fromHome = 0
+                var fromOriginRegion = 0
                 for (chunk in 0 until CHUNKS) {
                     val sources = holders.filter { it.region == region }.map { firstSource(it, chunk) as ChunkSource.Peer }
                     val across = sources.filter { it.holder.region != region }
                     across shouldHaveSize 1
-                    if (across.single().holder.region == home) fromHome++
+                    if (across.single().holder.region == originRegion) fromOriginRegion++
                 }
-                fromHome shouldBeInRange 45..75
+                fromOriginRegion shouldBeInRange 45..75
             }
         }
 
-        test("following first sources always ends at the origin") {
+        test("the chain of first sources always ends at the origin") {
             for (chunk in 0 until CHUNKS) {
                 for (holder in holders) {
                     var current = holder
@@ -65,12 +65,12 @@
 
         test("the origin is the last resort of every chunk for every holder") {
             for (holder in holders) {
-                val plan = WeightPlan(SourcePolicy.Striped, version, holder, holders, home, CHUNKS)
+                val plan = ChunkSourcePlan(SourcePolicy.Striped, version, holder, holders, originRegion, CHUNKS)
                 (0 until CHUNKS).forEach { plan.sources(ChunkIndex(it)).last() shouldBe ChunkSource.Origin }
             }
         }
 
-        test("passing chunks on is spread over all holders") {
+        test("uploads are spread over all holders") {
             val uploads =
                 holders
                     .flatMap { holder ->
--- /dev/null
+++ b/control/src/test/kotlin/lagoonrudder/control/ConcurrencyLimitControllerTest.kt
@@ -0,0 +1,87 @@
+package lagoonrudder.control
+
+import io.kotest.core.spec.style.FunSpec
+import io.kotest.matchers.ints.shouldBeGreaterThan
+import io.kotest.matchers.ints.shouldBeLessThan
+import io.kotest.matchers.shouldBe
+import io.kotest.matchers.types.shouldBeInstanceOf
+import lagoonrudder.model.IncarnationId
+import lagoonrudder.model.Refusal
+import lagoonrudder.model.RequestId
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.milliseconds
+import kotlin.time.Duration.Companion.seconds
+
+private val fastResponse = EngineResult.Answered(50.milliseconds)
+
+private fun controller(policy: LimitPolicy = LimitPolicy.Adaptive()) =
+    ConcurrencyLimitController(policy, strictInvariants()).apply {
+        configure(TargetCapacity(16, 1_000))
+        onEngineIncarnation(IncarnationId("first"))
+    }
+
+/** Admits requests up to the limit and finishes all of them with [result], [rounds] times. */
+private fun ConcurrencyLimitController.runRounds(
+    rounds: Int,
+    result: EngineResult,
+    now: Duration = 10.seconds,
+) = repeat(rounds) { round ->
+    val admitted = (0 until load().limit).map { RequestId("$round-$it") }.onEach { admit(it, 1) shouldBe LimitDecision.Admitted }
+    admitted.forEach { onRequestFinished(it, result, now + 1.seconds * round) }
+}
+
+class ConcurrencyLimitControllerTest :
+    FunSpec({
+        test("the limit of a new target starts small, rises with timely responses, and never exceeds the published capacity") {
+            val limits = controller()
+            limits.load().limit shouldBe 2
+            limits.runRounds(1, fastResponse)
+            limits.load().limit shouldBeGreaterThan 2
+            limits.runRounds(30, fastResponse)
+            limits.load().limit shouldBe 16
+        }
+
+        test("failures and slow first tokens lower the limit immediately") {
+            val limits = controller()
+            limits.runRounds(30, fastResponse)
+            limits.runRounds(1, EngineResult.Failed, 100.seconds)
+            limits.load().limit shouldBe 11
+            limits.runRounds(1, EngineResult.Answered(2.seconds), 200.seconds)
+            limits.load().limit shouldBeLessThan 11
+        }
+
+        test("an unannounced restart of the engine resets the limit") {
+            val limits = controller()
+            limits.runRounds(30, fastResponse)
+            limits.onEngineIncarnation(IncarnationId("second"))
+            limits.load().limit shouldBe 2
+        }
+
+        test("memory for prompts and responses is reserved, released and never exceeded") {
+            val limits = controller()
+            limits.admit(RequestId("a"), 600).shouldBeInstanceOf<LimitDecision.Admitted>()
+            limits.admit(RequestId("b"), 600) shouldBe LimitDecision.Queued
+            val tooLarge = limits.admit(RequestId("c"), 2_000).shouldBeInstanceOf<LimitDecision.Refused>()
+            tooLarge.refusal.shouldBeInstanceOf<Refusal.Invalid>()
+            limits.admitNext() shouldBe null
+            limits.onRequestFinished(RequestId("a"), EngineResult.Cancelled, 1.seconds)
+            limits.admitNext() shouldBe RequestId("b")
+        }
+
+        test("waiting requests are admitted in order of arrival, are bounded, and can be cancelled") {
+            val limits = controller()
+            listOf("a", "b").forEach { limits.admit(RequestId(it), 1) shouldBe LimitDecision.Admitted }
+            listOf("c", "d").forEach { limits.admit(RequestId(it), 1) shouldBe LimitDecision.Queued }
+            val rejected = limits.admit(RequestId("e"), 1).shouldBeInstanceOf<LimitDecision.Refused>()
+            rejected.refusal.shouldBeInstanceOf<Refusal.Overloaded>()
+            limits.load() shouldBe TargetLoad(2, 4, 898)
+            limits.cancelWaiting(RequestId("c"))
+            limits.onRequestFinished(RequestId("a"), EngineResult.Cancelled, 1.seconds)
+            limits.admitNext() shouldBe RequestId("d")
+            limits.admitNext() shouldBe null
+        }
+
+        test("the fixed policy applies the published capacity from the start") {
+            controller(LimitPolicy.Fixed).load().limit shouldBe 16
+        }
+    })
--- a/control/src/test/kotlin/lagoonrudder/control/ConfigurationControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/ConfigurationControllerTest.kt
@@ -14,79 +14,79 @@
 
 private fun objectsWith(customers: Int): ObjectSet = objectSet { repeat(customers) { customer("customer-$it") } }
 
-private fun ConfigurationController.offerWhole(
+private fun ConfigurationController.offerFullSet(
     revision: Long,
     objects: ObjectSet,
 ): ConfigurationOutcome {
-    val checked = CheckedSet.ofWhole(SealedSet(Revision(revision), objects), current, somePeer)
+    val checked = CheckedSet.ofFullSet(SealedSet(Revision(revision), objects), current, somePeer)
     return offer(checked.getOrElse { error(it.describe()) })
 }
 
 class ConfigurationControllerTest :
     FunSpec({
-        test("an older set never displaces a newer one") {
+        test("an older set never replaces a newer one") {
             val controller = ConfigurationController(strictInvariants())
-            controller.offerWhole(5, objectsWith(2))
-            controller.offerWhole(4, objectsWith(9)) shouldBe ConfigurationOutcome.Superseded(Revision(5), twin = false)
+            controller.offerFullSet(5, objectsWith(2))
+            controller.offerFullSet(4, objectsWith(9)) shouldBe ConfigurationOutcome.Superseded(Revision(5), conflicting = false)
             controller.current.revision shouldBe Revision(5)
         }
 
-        test("two sets with one revision settle alike in whatever order they come") {
+        test("of two sets with the same revision the same one wins in either order of arrival") {
             val one = objectsWith(1)
             val two = objectsWith(2)
-            val settled =
+            val digests =
                 listOf(listOf(one, two), listOf(two, one)).map { order ->
                     val controller = ConfigurationController(strictInvariants())
-                    order.forEach { controller.offerWhole(7, it) }
+                    order.forEach { controller.offerFullSet(7, it) }
                     controller.current.digest
                 }
-            settled.distinct().size shouldBe 1
+            digests.distinct().size shouldBe 1
         }
 
-        test("a set that fails the check is not even offered") {
+        test("a set that fails validation can't be offered") {
             val broken = objectSet { domain("ost", region = "nowhere") }
-            CheckedSet.ofWhole(SealedSet(Revision(1), broken), SealedSet.EMPTY, somePeer).isLeft() shouldBe true
+            CheckedSet.ofFullSet(SealedSet(Revision(1), broken), SealedSet.EMPTY, somePeer).isLeft() shouldBe true
         }
 
-        test("changes whose digest does not fit are damaged") {
+        test("changes that don't result in their digest are rejected") {
             val controller = ConfigurationController(strictInvariants())
-            controller.offerWhole(1, objectsWith(1))
+            controller.offerFullSet(1, objectsWith(1))
             val other = ConfigurationController(strictInvariants())
-            other.offerWhole(1, objectsWith(1))
-            val good = other.offerWhole(2, objectsWith(3)).shouldBeInstanceOf<ConfigurationOutcome.Accepted>().changes
-            val damaged = good.copy(changes = good.changes.copy(changed = good.changes.changed.drop(1)))
+            other.offerFullSet(1, objectsWith(1))
+            val valid = other.offerFullSet(2, objectsWith(3)).shouldBeInstanceOf<ConfigurationOutcome.Accepted>().changes
+            val damaged = valid.copy(changes = valid.changes.copy(changed = valid.changes.changed.drop(1)))
             CheckedSet.ofChanges(damaged, controller.current, somePeer).isLeft() shouldBe true
-            CheckedSet.ofChanges(good, controller.current, somePeer).isRight() shouldBe true
+            CheckedSet.ofChanges(valid, controller.current, somePeer).isRight() shouldBe true
         }
 
-        test("changes over several revisions lead from any recent set to the one in force") {
+        test("combined changes lead from any recent set to the active one") {
             val random = Random(11)
             val controller = ConfigurationController(strictInvariants())
             val history = mutableListOf<SealedSet>()
             for (revision in 1L..30L) {
-                controller.offerWhole(revision, objectsWith(random.nextInt(1, 12)))
+                controller.offerFullSet(revision, objectsWith(random.nextInt(1, 12)))
                 history += controller.current
             }
-            for (old in history.takeLast(20).dropLast(1)) {
-                val changes = checkNotNull(controller.changesSince(old.revision, old.digest))
-                CheckedSet.ofChanges(changes, old, somePeer).map { it.set.digest }.getOrNull() shouldBe controller.current.digest
+            for (base in history.takeLast(20).dropLast(1)) {
+                val changes = checkNotNull(controller.changesSince(base.revision, base.digest))
+                CheckedSet.ofChanges(changes, base, somePeer).map { it.set.digest }.getOrNull() shouldBe controller.current.digest
             }
         }
 
-        test("a check against a set that was replaced meanwhile is made again") {
+        test("a set validated against a base that was replaced must be validated again") {
             val controller = ConfigurationController(strictInvariants())
-            val checked = CheckedSet.ofWhole(SealedSet(Revision(2), objectsWith(1)), controller.current, somePeer).getOrNull()!!
-            controller.offerWhole(1, objectsWith(2))
-            controller.offer(checked) shouldBe ConfigurationOutcome.BaseMoved
+            val checked = CheckedSet.ofFullSet(SealedSet(Revision(2), objectsWith(1)), controller.current, somePeer).getOrNull()!!
+            controller.offerFullSet(1, objectsWith(2))
+            controller.offer(checked) shouldBe ConfigurationOutcome.BaseChanged
         }
 
-        test("after a pause nothing is served until peers confirmed, or the time for that is over") {
+        test("after a pause nothing is served until the configuration is confirmed or the time limit has passed") {
             val controller = ConfigurationController(strictInvariants())
-            controller.offerWhole(1, objectsWith(1))
+            controller.offerFullSet(1, objectsWith(1))
             controller.mayServe(Duration.ZERO) shouldBe false
             controller.confirm()
             controller.mayServe(1.seconds) shouldBe true
-            controller.suspectStale(10.seconds, 1.seconds)
+            controller.requireConfirmation(10.seconds, 1.seconds)
             controller.mayServe(10.seconds) shouldBe false
             controller.mayServe(11.seconds) shouldBe true
         }
--- a/control/src/test/kotlin/lagoonrudder/control/Fakes.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/Fakes.kt
@@ -4,7 +4,7 @@
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 
-/** Invariants that fail the test at once. */
+/** Invariants whose violation fails the test immediately. */
 fun strictInvariants() = Invariants { error("violated: $it") }
 
 val somePeer = Peer(PeerRole.PLATFORM, "127.0.0.1:1")
--- a/control/src/test/kotlin/lagoonrudder/control/MembershipControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/MembershipControllerTest.kt
@@ -23,32 +23,32 @@
 
 class MembershipControllerTest :
     FunSpec({
-        test("suspicion hides a daemon for a while and a sign of life ends it") {
+        test("a suspicion excludes a daemon until it expires or is cleared") {
             val membership = MembershipController(DaemonId("self"))
             membership.replaceList(listOf(instance(1), instance(2)), 1)
             membership.suspect(DaemonId("d1"), Duration.ZERO)
-            membership.live(ost, 1.seconds) shouldContainExactlyInAnyOrder listOf(DaemonId("self"), DaemonId("d2"))
-            membership.live(ost, 4.seconds).size shouldBe 3
+            membership.liveDaemons(ost, 1.seconds) shouldContainExactlyInAnyOrder listOf(DaemonId("self"), DaemonId("d2"))
+            membership.liveDaemons(ost, 4.seconds).size shouldBe 3
             membership.suspect(DaemonId("d2"), 4.seconds)
-            membership.alive(DaemonId("d2"))
-            membership.live(ost, 4.seconds).size shouldBe 3
+            membership.clearSuspicion(DaemonId("d2"))
+            membership.liveDaemons(ost, 4.seconds).size shouldBe 3
         }
 
-        test("an older list never displaces a newer one") {
+        test("an older list never replaces a newer one") {
             val membership = MembershipController(DaemonId("self"))
             membership.replaceList(listOf(instance(1)), 5) shouldBe true
             membership.replaceList(emptyList(), 4) shouldBe false
             membership.instances().size shouldBe 1
         }
 
-        test("of two daemons for one target the one that isn't leaving counts") {
+        test("of two daemons for one target the one that isn't leaving is returned") {
             val membership = MembershipController(DaemonId("self"))
             membership.replaceList(listOf(instance(1, leaving = true, target = "t"), instance(2, target = "t")), 1)
             membership.daemonOf(TargetId("t"))?.daemon shouldBe DaemonId("d2")
             membership.targetDaemons().getValue(TargetId("t")).daemon shouldBe DaemonId("d2")
         }
 
-        test("random changes passed on by peers lead to the same list") {
+        test("random changes that are forwarded to a peer result in the same list") {
             val random = Random(5)
             val source = MembershipController(DaemonId("source"))
             val follower = MembershipController(DaemonId("follower"))
--- a/control/src/test/kotlin/lagoonrudder/control/RoutingControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/RoutingControllerTest.kt
@@ -39,59 +39,59 @@
     inFlight: Int = 0,
     version: String = "m-1",
     accepting: Boolean = true,
-) = TargetReport(TargetId(target), IncarnationId("i"), Room(limit, inFlight, 10_000), VersionId(version), accepting)
+) = TargetReport(TargetId(target), IncarnationId("i"), TargetLoad(limit, inFlight, 10_000), VersionId(version), accepting)
 
-private fun need(bytes: Long = 1_000) = Need(FleetId("workers"), null, 10, bytes, null, emptySet())
+private fun request(bytes: Long = 1_000) = RoutingRequest(FleetId("workers"), null, 10, bytes, null, emptySet())
 
 private fun routing(
     set: ObjectSet = objects(),
-    policy: ChoicePolicy = ChoicePolicy.FreshRoom(),
+    policy: LoadBalancingPolicy = LoadBalancingPolicy.FreshRoom(),
 ) = RoutingController("entry-1", DomainId("ost"), policy, Random(3)).apply { configure(set, 1) }
 
 private fun RoutingController.reportAll(
     vararg reports: TargetReport,
     now: Duration = Duration.ZERO,
-) = reports.forEach { reported(it, now) }
+) = reports.forEach { onTargetReport(it, now) }
 
-private fun RoutingController.chosen(now: Duration = Duration.ZERO) = choose(need(), now).shouldBeInstanceOf<Choice.Chosen>().target.text
+private fun RoutingController.selectedTarget(now: Duration = Duration.ZERO) = selectTarget(request(), now).shouldBeInstanceOf<RoutingDecision.Selected>().target.text
 
 class RoutingControllerTest :
     FunSpec({
-        test("a target gets no more than the room it reported") {
+        test("a target gets no more requests than it reported capacity for") {
             val routing = routing()
             routing.reportAll(report("ost-a", limit = 2), report("ost-b", limit = 3))
-            repeat(5) { routing.chosen().startsWith("ost") shouldBe true }
-            routing.choose(need(), Duration.ZERO) shouldBe Choice.NoRoom
+            repeat(5) { routing.selectedTarget().startsWith("ost") shouldBe true }
+            routing.selectTarget(request(), Duration.ZERO) shouldBe RoutingDecision.NoCapacity
         }
 
-        test("a target that holds other weights or does not accept is passed over") {
+        test("a target that serves another version is skipped") {
             val routing = routing()
             routing.reportAll(report("ost-a", version = "m-0"), report("ost-b"))
-            repeat(4) { routing.chosen() shouldBe "ost-b" }
+            repeat(4) { routing.selectedTarget() shouldBe "ost-b" }
         }
 
         test("without a fresh report a target gets one request at a time") {
             val routing = routing()
             routing.reportAll(report("ost-a"), report("ost-b"))
             val later = 10.seconds
-            repeat(2) { routing.chosen(later) }
-            routing.choose(need(), later) shouldBe Choice.NoRoom
+            repeat(2) { routing.selectedTarget(later) }
+            routing.selectTarget(request(), later) shouldBe RoutingDecision.NoCapacity
         }
 
-        test("a target that fails three times in a row is set aside, then tried with one request") {
+        test("a target that fails three times in a row is ejected, then probed with one request") {
             val routing = routing()
             routing.reportAll(report("ost-a", limit = 0), report("ost-b"))
             repeat(3) {
-                routing.chosen() shouldBe "ost-b"
-                routing.finished(TargetId("ost-b"), failed = true, now = Duration.ZERO)
+                routing.selectedTarget() shouldBe "ost-b"
+                routing.onRequestFinished(TargetId("ost-b"), failed = true, now = Duration.ZERO)
             }
-            routing.choose(need(), Duration.ZERO) shouldBe Choice.NoRoom
+            routing.selectTarget(request(), Duration.ZERO) shouldBe RoutingDecision.NoCapacity
             routing.reportAll(report("ost-b"), now = 1.seconds)
-            routing.chosen(1.seconds) shouldBe "ost-b"
-            routing.choose(need(), 1.seconds) shouldBe Choice.NoRoom
+            routing.selectedTarget(1.seconds) shouldBe "ost-b"
+            routing.selectTarget(request(), 1.seconds) shouldBe RoutingDecision.NoCapacity
         }
 
-        test("a full failure domain spills to another within the budget of the link and half of the neighbour's room") {
+        test("a full failure domain spills over to another within the link budget and half of the remote capacity") {
             val routing = routing(objects(linkBytes = 10_000))
             routing.reportAll(
                 report("ost-a", limit = 0),
@@ -99,31 +99,31 @@
                 report("west-a", limit = 8),
                 report("west-b", limit = 8),
             )
-            val spilled = generateSequence { routing.choose(need(bytes = 1_000), Duration.ZERO) as? Choice.Chosen }.toList()
+            val spilled = generateSequence { routing.selectTarget(request(bytes = 1_000), Duration.ZERO) as? RoutingDecision.Selected }.toList()
             spilled.size shouldBe 8
         }
 
-        test("nothing goes to a failure domain that is out of service") {
+        test("no request is sent to a failure domain that is out of service") {
             val routing = routing(objects(westOut = true))
             routing.reportAll(report("ost-a", limit = 0), report("ost-b", limit = 0), report("west-a"), report("west-b"))
-            routing.choose(need(), Duration.ZERO) shouldBe Choice.NoRoom
+            routing.selectTarget(request(), Duration.ZERO) shouldBe RoutingDecision.NoCapacity
         }
 
-        test("the owner of a key is the only candidate, and none when it is not linked") {
+        test("the owner of a key is the only candidate, and only while it is connected") {
             val routing = routing()
-            routing.choose(need().copy(owner = TargetId("west-a")), Duration.ZERO) shouldBe Choice.NoTarget
+            routing.selectTarget(request().copy(owner = TargetId("west-a")), Duration.ZERO) shouldBe RoutingDecision.NoTarget
             routing.reportAll(report("west-a", limit = 8))
-            routing.choose(need().copy(owner = TargetId("west-a")), Duration.ZERO) shouldBe
-                Choice.Chosen(TargetId("west-a"), DomainId("west"))
+            routing.selectTarget(request().copy(owner = TargetId("west-a")), Duration.ZERO) shouldBe
+                RoutingDecision.Selected(TargetId("west-a"), DomainId("west"))
         }
 
-        test("a known prefix draws a request unless the target is much fuller") {
+        test("a request follows its prompt prefix unless that target is much fuller") {
             val routing = routing()
-            val warm = need().copy(prefix = 42)
+            val warm = request().copy(prefix = 42)
             routing.reportAll(report("ost-a", limit = 100), report("ost-b", limit = 100))
-            val first = routing.choose(warm, Duration.ZERO).shouldBeInstanceOf<Choice.Chosen>().target
-            repeat(10) { routing.choose(warm, Duration.ZERO).shouldBeInstanceOf<Choice.Chosen>().target shouldBe first }
-            routing.reported(report(first.text, limit = 100, inFlight = 90), Duration.ZERO)
-            routing.choose(warm, Duration.ZERO).shouldBeInstanceOf<Choice.Chosen>().target shouldNotBe first
+            val first = routing.selectTarget(warm, Duration.ZERO).shouldBeInstanceOf<RoutingDecision.Selected>().target
+            repeat(10) { routing.selectTarget(warm, Duration.ZERO).shouldBeInstanceOf<RoutingDecision.Selected>().target shouldBe first }
+            routing.onTargetReport(report(first.text, limit = 100, inFlight = 90), Duration.ZERO)
+            routing.selectTarget(warm, Duration.ZERO).shouldBeInstanceOf<RoutingDecision.Selected>().target shouldNotBe first
         }
     })
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationLoop.kt
@@ -178,7 +178,7 @@
     }
 
     private suspend fun isWatcher(): Boolean =
-        core.thread.decide { core.spread.watches(core.membership.live(domain, core.clock.elapsed())) }
+        core.thread.decide { core.spread.shouldWatch(core.membership.liveDaemons(domain, core.clock.elapsed())) }
 
     private suspend fun askPlatform(limit: Duration) {
         core.platform.head(limit).fold({ core.log.failure("configuration-read-failed", it) }) { value ->
@@ -237,7 +237,7 @@
         if (!startsFrom(changes, current)) return false
         val checked = CheckedSet.ofChanges(changes, current, peer).getOrElse { return true.also { _ -> reject(it) } }
         return when (put(checked)) {
-            ConfigurationOutcome.BaseMoved -> offerChanges(changes, peer)
+            ConfigurationOutcome.BaseChanged -> offerChanges(changes, peer)
             else -> true
         }
     }
@@ -248,8 +248,8 @@
     ) {
         val current = core.thread.decide { core.configuration.current }
         if (offered.revision < current.revision) return
-        val checked = CheckedSet.ofWhole(offered, current, peer).getOrElse { return reject(it).let { } }
-        if (put(checked) is ConfigurationOutcome.BaseMoved) offerWhole(offered, peer)
+        val checked = CheckedSet.ofFullSet(offered, current, peer).getOrElse { return reject(it).let { } }
+        if (put(checked) is ConfigurationOutcome.BaseChanged) offerWhole(offered, peer)
     }
 
     private suspend fun put(checked: CheckedSet): ConfigurationOutcome {
@@ -261,8 +261,8 @@
             }
         when (outcome) {
             is ConfigurationOutcome.Accepted -> accepted(outcome, checked.peer)
-            is ConfigurationOutcome.Superseded -> if (outcome.twin) alarm(checked)
-            ConfigurationOutcome.Known, ConfigurationOutcome.BaseMoved -> Unit
+            is ConfigurationOutcome.Superseded -> if (outcome.conflicting) alarm(checked)
+            ConfigurationOutcome.Known, ConfigurationOutcome.BaseChanged -> Unit
         }
         return outcome
     }
@@ -274,7 +274,7 @@
         val revision = outcome.set.revision
         core.metrics.count("configuration.accepted", "accepted")
         core.log.info("configuration-accepted", "revision" to revision.number, "digest" to outcome.set.digest.hexadecimal, "peer" to peer)
-        if (outcome.replacedTwin) core.log.error("configuration-twins", "revision" to revision.number, "peer" to peer, "kept" to "offered")
+        if (outcome.replacedConflicting) core.log.error("configuration-twins", "revision" to revision.number, "peer" to peer, "kept" to "offered")
         core.scope.launch { passOn(outcome) }
     }
 
@@ -284,7 +284,7 @@
     }
 
     private suspend fun reject(failure: Failure): OfferReply {
-        core.thread.decide { core.configuration.rejected() }
+        core.thread.decide { core.configuration.onRejected() }
         core.metrics.count("configuration.rejected", failure.step.name.lowercase())
         core.log.failure("configuration-rejected", failure)
         return OfferReply()
@@ -294,7 +294,7 @@
         val children =
             core.thread.decide {
                 core.spread
-                    .children(outcome.set.revision, core.membership.live(domain, core.clock.elapsed()))
+                    .children(outcome.set.revision, core.membership.liveDaemons(domain, core.clock.elapsed()))
                     .mapNotNull(core.membership::instance)
             }
         if (children.isEmpty()) return
@@ -338,8 +338,8 @@
     }
 
     private fun peerAtHome(): Instance? {
-        val live = core.membership.live(domain, core.clock.elapsed())
-        return core.spread.exchangePeer(live)?.let(core.membership::instance)
+        val liveDaemons = core.membership.liveDaemons(domain, core.clock.elapsed())
+        return core.spread.exchangePeer(liveDaemons)?.let(core.membership::instance)
     }
 
     private fun peerAbroad(): Instance? =
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/entry/ReportLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/entry/ReportLoop.kt
@@ -60,7 +60,7 @@
     ) {
         while (core.scope.isActive) {
             read(target, instance)
-            core.thread.decide { control.unlinked(target) }
+            core.thread.decide { control.onDisconnected(target) }
             delay(RECONNECT_PAUSE)
         }
     }
@@ -95,8 +95,8 @@
     ): Boolean {
         if (report.target != target) return false
         core.thread.decide {
-            control.membership.alive(instance.daemon)
-            control.reported(report)
+            control.membership.clearSuspicion(instance.daemon)
+            control.onTargetReport(report)
         }
         return true
     }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/WeightLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/WeightLoop.kt
@@ -13,9 +13,9 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import lagoonrudder.control.ChunkDecision
 import lagoonrudder.control.ChunkSource
-import lagoonrudder.control.DrawDecision
-import lagoonrudder.control.DrawResult
-import lagoonrudder.control.WeightPlan
+import lagoonrudder.control.FetchDecision
+import lagoonrudder.control.FetchResult
+import lagoonrudder.control.ChunkSourcePlan
 import lagoonrudder.daemon.ChunkService
 import lagoonrudder.daemon.DaemonCore
 import lagoonrudder.daemon.platform.WeightOrigin
@@ -59,7 +59,7 @@
 
     /** The wanted version or the holders may have changed; runs on the control thread. */
     fun configured() {
-        control.weights.replan(control.holders())
+        control.weights.updateHolders(control.holders())
         wake.trySend(Unit)
     }
 
@@ -72,7 +72,7 @@
     /** The engine started anew and has nothing; runs on the control thread. */
     fun engineRestarted() {
         delivered.clear()
-        control.weights.restart()
+        control.weights.onEngineReset()
         wake.trySend(Unit)
     }
 
@@ -92,7 +92,7 @@
         while (true) {
             val seen = arrivals.value
             find(version, chunk)?.let { return it }
-            val hopeless = core.thread.decide { control.weights.draws(version) && !willHave(version) }
+            val hopeless = core.thread.decide { control.weights.isFetching(version) && !willHave(version) }
             if (hopeless) return null
             arrivals.first { it != seen }
         }
@@ -103,7 +103,7 @@
         chunk: ChunkIndex,
     ): ByteArray? =
         core.thread.decide {
-            if (chunk == MANIFEST) manifest?.takeIf { drawing?.id == version } else control.weights.held(version, chunk)
+            if (chunk == MANIFEST) manifest?.takeIf { drawing?.id == version } else control.weights.heldChunk(version, chunk)
         }
 
     private fun willHave(version: VersionId): Boolean {
@@ -130,9 +130,9 @@
         if (!prepare(wanted)) return pause(MANIFEST_PAUSE)
         val now = core.clock.elapsed()
         when (val decision = core.thread.decide { control.weights.next(now) }) {
-            is DrawDecision.Draw -> core.scope.launch { draw(decision, wanted) }
-            is DrawDecision.Wait -> pause((decision.until - now).coerceIn(SHORTEST_PAUSE, LONGEST_PAUSE))
-            DrawDecision.Busy, DrawDecision.Complete -> wake.receive()
+            is FetchDecision.Fetch -> core.scope.launch { draw(decision, wanted) }
+            is FetchDecision.Wait -> pause((decision.until - now).coerceIn(SHORTEST_PAUSE, LONGEST_PAUSE))
+            FetchDecision.Busy, FetchDecision.Complete -> wake.receive()
         }
     }
 
@@ -165,7 +165,7 @@
         drawing = wanted
         manifest = bytes
         delivered.clear()
-        control.weights.want(wanted, digests, control.holders())
+        control.weights.startFetch(wanted, digests, control.holders())
         arrivals.value++
     }
 
@@ -193,7 +193,7 @@
             core.configuration.current.objects.regions.values
                 .firstOrNull { it.origin }
                 ?.id
-        return WeightPlan(core.options.sources, wanted.id, self, holders, region, wanted.chunkCount).sources(MANIFEST)
+        return ChunkSourcePlan(core.options.sources, wanted.id, self, holders, region, wanted.chunkCount).sources(MANIFEST)
     }
 
     /** Reads from [source]; null in place of bytes means that the source does not have them yet. */
@@ -231,14 +231,14 @@
     }
 
     private suspend fun draw(
-        decision: DrawDecision.Draw,
+        decision: FetchDecision.Fetch,
         version: OperatorObject.Version,
     ) {
-        val limit = core.settings.limits.weights.drawLimit
+        val limit = core.settings.limits.weights.fetchTimeout
         val read = readFrom(decision.source, version, decision.chunk, limit) { origin.chunk(version.id, decision.chunk, limit) }
-        val result = read.fold({ DrawResult.Failed }, { if (it == null) DrawResult.NotYet else DrawResult.Arrived(digestOf(it), it) })
+        val result = read.fold({ FetchResult.Failed }, { if (it == null) FetchResult.NotYet else FetchResult.Received(digestOf(it), it) })
         val judged =
-            core.thread.decide { control.weights.ended(version.id, decision.chunk, decision.source, result, core.clock.elapsed()) }
+            core.thread.decide { control.weights.onFetchEnded(version.id, decision.chunk, decision.source, result, core.clock.elapsed()) }
         read.onLeft { core.log.failure("chunk-failed", it, "version" to version.id.text, "chunk" to decision.chunk.number) }
         when (judged) {
             ChunkDecision.Keep -> keep(version, decision.chunk, result)
@@ -251,10 +251,10 @@
     private suspend fun keep(
         version: OperatorObject.Version,
         chunk: ChunkIndex,
-        result: DrawResult,
+        result: FetchResult,
     ) {
         arrivals.value++
-        if (result is DrawResult.Arrived) deliver(version, chunk, result.bytes)
+        if (result is FetchResult.Received) deliver(version, chunk, result.bytes)
     }
 
     /** Hands a chunk to the engine, again while the engine can't take it and the version is still wanted. */
@@ -264,7 +264,7 @@
         bytes: ByteArray,
     ) {
         while (core.thread.decide { drawing == version }) {
-            val put = backEnd.putChunk(version.id, chunk, bytes, core.settings.limits.weights.drawLimit)
+            val put = backEnd.putChunk(version.id, chunk, bytes, core.settings.limits.weights.fetchTimeout)
             if (put.isRight()) return noteDelivered(version, chunk)
             put.onLeft { core.log.failure("chunk-not-taken", it, "version" to version.id.text, "chunk" to chunk.number) }
             delay(DELIVER_PAUSE)
@@ -294,7 +294,7 @@
 
     private fun damaged(
         version: OperatorObject.Version,
-        decision: DrawDecision.Draw,
+        decision: FetchDecision.Fetch,
     ) {
         core.metrics.count("chunks", "damaged")
         val failure = Failure.Damaged(Step.VERIFY_CHUNK, peerOf(decision.source), "chunk ${decision.chunk.number} doesn't match its digest")
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/Demo.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/Demo.kt
@@ -11,7 +11,7 @@
 import kotlinx.coroutines.isActive
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.runBlocking
-import lagoonrudder.control.RepeatPolicy
+import lagoonrudder.control.IdempotencyPolicy
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.ObjectChanges
 import lagoonrudder.model.ObjectSet
@@ -30,7 +30,7 @@
 fun main(arguments: Array<String>) {
     allowManyServers()
     val names = if (arguments.firstOrNull() == "tadla") tadla else festival
-    val verdict = runBlocking { Demo(names, site { build = { repeats = RepeatPolicy(clockSkew = 200.milliseconds) } }).run() }
+    val verdict = runBlocking { Demo(names, site { build = { repeats = IdempotencyPolicy(clockSkew = 200.milliseconds) } }).run() }
     exitProcess(if (verdict) 0 else 1)
 }
 
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AccountFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AccountFilter.kt
@@ -29,13 +29,13 @@
         call: EntryCall,
         next: Next<EntryCall>,
     ): Outcome {
-        control.thread.decide { control.service.began() }
+        control.thread.decide { control.service.onRequestStarted() }
         try {
             val outcome = next.proceed(call)
             listener.ended(call, outcome, clock.elapsed() - call.arrived)
             return outcome
         } finally {
-            withContext(NonCancellable) { control.thread.decide { control.service.ended() } }
+            withContext(NonCancellable) { control.thread.decide { control.service.onRequestEnded() } }
         }
     }
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryCall.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryCall.kt
@@ -3,9 +3,9 @@
  */
 package lagoonrudder.traffic.entry
 
-import lagoonrudder.control.Dispatched
-import lagoonrudder.control.Need
-import lagoonrudder.control.Waiting
+import lagoonrudder.control.DispatchResult
+import lagoonrudder.control.RoutingRequest
+import lagoonrudder.control.QueuedRequest
 import lagoonrudder.model.Failure
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.RepeatKey
@@ -62,8 +62,8 @@
 
 /** A place in the line and what the request needs. */
 data class Ticket(
-    val waiting: Waiting,
-    val need: Need,
+    val waiting: QueuedRequest,
+    val need: RoutingRequest,
 )
 
 class EntryCall(
@@ -77,6 +77,6 @@
     fun identityOrNull(): Identity? = if (::identity.isInitialized) identity else null
 
     lateinit var ticket: Ticket
-    lateinit var choice: Dispatched.Go
+    lateinit var choice: DispatchResult.Forward
     lateinit var relay: AnswerRelay
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdentifyFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdentifyFilter.kt
@@ -8,7 +8,7 @@
 import arrow.core.left
 import arrow.core.raise.either
 import arrow.core.right
-import lagoonrudder.control.ServiceState
+import lagoonrudder.control.ServingState
 import lagoonrudder.control.refusal
 import lagoonrudder.model.Clock
 import lagoonrudder.model.FleetKind
@@ -54,8 +54,8 @@
         val now = clock.elapsed()
         val confirmed = control.configuration.mayServe(now) && !control.service.wasPaused(now)
         return when (val state = control.service.state(set.objects, confirmed)) {
-            ServiceState.Serving -> set.right()
-            is ServiceState.Closed -> state.refusal().left()
+            ServingState.Serving -> set.right()
+            is ServingState.Unavailable -> state.refusal().left()
         }
     }
 
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/RunMessages.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/RunMessages.kt
@@ -62,7 +62,7 @@
     @ProtoNumber(1) val code: String,
     @ProtoNumber(2) val retryAfterMilliseconds: Long = 0,
     @ProtoNumber(3) val detail: String = "",
-    @ProtoNumber(4) val room: RoomMessage? = null,
+    @ProtoNumber(4) val load: RoomMessage? = null,
 )
 
 @Serializable
@@ -92,7 +92,7 @@
 class EndMessage(
     @ProtoNumber(1) val length: Long = 0,
     @ProtoNumber(2) val checksum: Long = 0,
-    @ProtoNumber(3) val room: RoomMessage? = null,
+    @ProtoNumber(3) val load: RoomMessage? = null,
 )
 
 @Serializable
@@ -125,7 +125,7 @@
 class ReportMessage(
     @ProtoNumber(1) val target: String,
     @ProtoNumber(2) val incarnation: String,
-    @ProtoNumber(3) val room: RoomMessage,
+    @ProtoNumber(3) val load: RoomMessage,
     @ProtoNumber(4) val version: String = "",
     @ProtoNumber(5) val accepting: Boolean = false,
 )
--- a/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcClient.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcClient.kt
@@ -20,8 +20,8 @@
 import kotlinx.coroutines.flow.catch
 import kotlinx.coroutines.flow.map
 import lagoonrudder.control.InstanceChanges
-import lagoonrudder.control.RepeatDecision
-import lagoonrudder.control.Surrender
+import lagoonrudder.control.IdempotencyDecision
+import lagoonrudder.control.SurrenderResult
 import lagoonrudder.control.SwitchReport
 import lagoonrudder.control.TargetReport
 import lagoonrudder.model.Address
@@ -78,7 +78,7 @@
         target: Instance,
         request: ReserveRequest,
         limit: Duration,
-    ): Either<Failure, RepeatDecision> =
+    ): Either<Failure, IdempotencyDecision> =
         call(Methods.reserve, target.address, Use.REQUESTS, request.toMessage(), limit, Step.GUARD_REPEATS, PeerRole.TARGET) {
             it.toDecision()
         }
@@ -104,7 +104,7 @@
         target: Instance,
         request: SurrenderRequest,
         limit: Duration,
-    ): Either<Failure, Surrender> =
+    ): Either<Failure, SurrenderResult> =
         call(Methods.surrender, target.address, Use.REQUESTS, request.toMessage(), limit, Step.GUARD_REPEATS, PeerRole.TARGET) {
             it.toSurrender()
         }
--- a/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcServer.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcServer.kt
@@ -10,8 +10,8 @@
 import io.grpc.netty.shaded.io.grpc.netty.NettyServerBuilder
 import kotlinx.coroutines.flow.Flow
 import kotlinx.coroutines.flow.map
-import lagoonrudder.control.RepeatDecision
-import lagoonrudder.control.Surrender
+import lagoonrudder.control.IdempotencyDecision
+import lagoonrudder.control.SurrenderResult
 import lagoonrudder.control.SwitchReport
 import lagoonrudder.control.TargetReport
 import lagoonrudder.model.Address
@@ -36,9 +36,9 @@
 interface TargetService {
     fun run(request: RunRequest): Flow<RunEvent>
 
-    suspend fun reserve(request: ReserveRequest): RepeatDecision
+    suspend fun reserve(request: ReserveRequest): IdempotencyDecision
 
-    suspend fun surrender(request: SurrenderRequest): Surrender
+    suspend fun surrender(request: SurrenderRequest): SurrenderResult
 
     fun reports(): Flow<TargetReport>
 
