--- a/control/src/main/kotlin/lagoonrudder/control/CheckedSet.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/CheckedSet.kt
@@ -56,7 +56,11 @@
             offered: SealedChanges,
             peer: Peer,
         ): Failure =
-            Failure.Damaged(Step.ACCEPT_CONFIGURATION, peer, "digest mismatch after applying the changes to revision ${offered.revision.number}")
+            Failure.Damaged(
+                Step.ACCEPT_CONFIGURATION,
+                peer,
+                "digest mismatch after applying the changes to revision ${offered.revision.number}",
+            )
     }
 }
 
--- a/control/src/main/kotlin/lagoonrudder/control/ChunkSourcePlan.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/ChunkSourcePlan.kt
@@ -79,7 +79,8 @@
         }
 
     /** Whether this holder is the primary for [chunk] in its failure domain, and keeps it for holders that join later. */
-    fun isPrimarySource(chunk: ChunkIndex): Boolean = primaryChunks.getOrElse(chunk.number) { domainOrder(chunk, self.domain).first() == self }
+    fun isPrimarySource(chunk: ChunkIndex): Boolean =
+        primaryChunks.getOrElse(chunk.number) { domainOrder(chunk, self.domain).first() == self }
 
     private val primaryChunks: List<Boolean> by lazy { (0 until chunks).map { domainOrder(ChunkIndex(it), self.domain).first() == self } }
 
--- a/control/src/main/kotlin/lagoonrudder/control/ConcurrencyLimitController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/ConcurrencyLimitController.kt
@@ -128,7 +128,7 @@
     }
 
     /** Removes a waiting request. */
-    fun cancelWaiting(request: RequestId) {
+    fun withdraw(request: RequestId) {
         waiting.remove(request)
     }
 
@@ -147,7 +147,8 @@
         }
     }
 
-    fun load(): TargetLoad = TargetLoad(limit.toInt(), reservedTokensByRequest.size + waiting.size, (tokenBudget() - reservedTokens).coerceAtLeast(0))
+    fun load(): TargetLoad =
+        TargetLoad(limit.toInt(), reservedTokensByRequest.size + waiting.size, (tokenBudget() - reservedTokens).coerceAtLeast(0))
 
     fun inFlight(): Int = reservedTokensByRequest.size
 
--- a/control/src/main/kotlin/lagoonrudder/control/ConfigurationController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/ConfigurationController.kt
@@ -20,13 +20,13 @@
 /** The result of offering a set. */
 sealed class ConfigurationOutcome {
     /**
-     * The set became active, and [changes] lead to it from the previous one. If [replacedConflicting] is true, the previous set
+     * The set became active, and [changes] lead to it from the previous one. If [wonConflict] is true, the previous set
      * had the same revision and another digest.
      */
     data class Accepted(
         val set: SealedSet,
         val changes: SealedChanges,
-        val replacedConflicting: Boolean,
+        val wonConflict: Boolean,
     ) : ConfigurationOutcome()
 
     /** The set was already active. */
@@ -81,7 +81,7 @@
             set.revision < current.revision -> ConfigurationOutcome.Superseded(current.revision, conflicting = false)
             set.revision == current.revision && set.digest == current.digest -> ConfigurationOutcome.Known
             offered.base !== current -> ConfigurationOutcome.BaseChanged
-            set.revision > current.revision -> activate(offered, replacedConflicting = false)
+            set.revision > current.revision -> activate(offered, wonConflict = false)
             else -> resolveConflict(offered)
         }
     }
@@ -138,12 +138,12 @@
     private fun resolveConflict(offered: CheckedSet): ConfigurationOutcome {
         conflicts++
         if (offered.set.digest < current.digest) return ConfigurationOutcome.Superseded(current.revision, conflicting = true)
-        return activate(offered, replacedConflicting = true)
+        return activate(offered, wonConflict = true)
     }
 
     private fun activate(
         offered: CheckedSet,
-        replacedConflicting: Boolean,
+        wonConflict: Boolean,
     ): ConfigurationOutcome {
         val set = offered.set
         invariants.check(
@@ -154,7 +154,7 @@
         ) { "from=${current.revision.number} to=${set.revision.number}" }
         current = set
         recordChanges(offered.changes)
-        return ConfigurationOutcome.Accepted(set, offered.changes, replacedConflicting)
+        return ConfigurationOutcome.Accepted(set, offered.changes, wonConflict)
     }
 
     private fun recordChanges(changes: SealedChanges) {
--- a/control/src/main/kotlin/lagoonrudder/control/DispatchController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/DispatchController.kt
@@ -17,7 +17,7 @@
 sealed class DispatchResult {
     abstract val request: RequestId
 
-    data class Forward(
+    data class Sent(
         override val request: RequestId,
         val target: TargetId,
         val domain: DomainId,
@@ -63,7 +63,7 @@
     }
 
     /** Removes [request] because its caller disconnected. */
-    fun cancelWaiting(request: QueuedRequest) {
+    fun withdraw(request: QueuedRequest) {
         pending.remove(request.id)
         admission.remove(request)
     }
@@ -109,7 +109,7 @@
                 pending.remove(next.id)
                 admission.dequeue(next)
                 sentAt[next.id] = now
-                DispatchResult.Forward(next.id, routingDecision.target, routingDecision.domain)
+                DispatchResult.Sent(next.id, routingDecision.target, routingDecision.domain)
             }
             RoutingDecision.NoCapacity -> null
             RoutingDecision.NoTarget -> if (now - request.since < NO_TARGET_TIMEOUT) null else refuse(next, Refusal.NoTarget(RETRY))
--- a/control/src/main/kotlin/lagoonrudder/control/IdempotencyController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/IdempotencyController.kt
@@ -142,7 +142,7 @@
     )
 
     private val records = LinkedHashMap<RepeatKey, KeyRecord>()
-    private val ownershipHistory = ArrayDeque<Ownership>()
+    private val history = ArrayDeque<Ownership>()
     private val processStart = Ownership(emptyList(), startedAt, startedElapsed)
     private var nextPermit = 1L
     private var retainedBytes = 0L
@@ -153,9 +153,9 @@
         now: Duration,
         date: Instant,
     ) {
-        if (ownershipHistory.lastOrNull()?.targets == targets) return
-        ownershipHistory.addLast(Ownership(targets, date, now))
-        while (ownershipHistory.size > 1 && now - ownershipHistory[1].sinceElapsed > policy.retention + policy.propagationDelay) ownershipHistory.removeFirst()
+        if (history.lastOrNull()?.targets == targets) return
+        history.addLast(Ownership(targets, date, now))
+        while (history.size > 1 && now - history[1].sinceElapsed > policy.retention + policy.propagationDelay) history.removeFirst()
     }
 
     /**
@@ -190,8 +190,8 @@
         val record = records.getOrPut(key) { KeyRecord(NO_BODY, KeyState.NotStarted, now) }
         return when (val state = record.state) {
             KeyState.NotStarted, is KeyState.Permitted, KeyState.Surrendered -> releaseKey(record, key, now, date)
-            KeyState.Running -> SurrenderResult.Uncertain("the request with this key is still running at the previous owner of the key")
-            KeyState.OutcomeUnknown -> SurrenderResult.Uncertain("the request with this key was started at the previous owner of the key and its outcome is unknown")
+            KeyState.Running -> SurrenderResult.Uncertain("the request is still running at the previous owner")
+            KeyState.OutcomeUnknown -> SurrenderResult.Uncertain("the request was started at the previous owner, outcome unknown")
             is KeyState.Completed -> SurrenderResult.AlreadyRan(state.response)
         }
     }
@@ -249,7 +249,7 @@
             entry("running", records.values.count { it.state is KeyState.Running })
             entry("lost", records.values.count { it.state is KeyState.OutcomeUnknown })
             entry("answer-bytes", retainedBytes)
-            entry("ownerships", ownershipHistory.size)
+            entry("ownerships", history.size)
             entry("started", processStart.sinceInstant)
         }
 
@@ -258,11 +258,11 @@
         body: Digest,
         now: Duration,
     ): IdempotencyDecision {
-        if (record.body != body) return IdempotencyDecision.Refused(Refusal.Invalid("an unused idempotency key; this key was used with a different request body"))
+        if (record.body != body) return IdempotencyDecision.Refused(Refusal.Invalid("an unused key: this one came with another body"))
         return when (val state = record.state) {
             KeyState.NotStarted, is KeyState.Permitted, KeyState.Surrendered -> permit(record, now)
             KeyState.Running -> IdempotencyDecision.Uncertain("the request with this key is still running")
-            KeyState.OutcomeUnknown -> IdempotencyDecision.Uncertain("the request with this key was started and its outcome is unknown")
+            KeyState.OutcomeUnknown -> IdempotencyDecision.Uncertain("the request with this key was started, outcome unknown")
             is KeyState.Completed -> IdempotencyDecision.AlreadyRan(state.response)
         }
     }
@@ -281,12 +281,12 @@
         key: RepeatKey,
         date: Instant,
     ): IdempotencyDecision? {
-        val owned = ownershipHistory.lastOrNull()?.let { ownerOf(key, it.targets) } == self
+        val owned = history.lastOrNull()?.let { ownerOf(key, it.targets) } == self
         val issued = issueTime(key)
         val refusal =
             when {
                 !owned -> Refusal.NotServing(RETRY_AFTER, "another target owns this idempotency key")
-                issued != null && issued > date + policy.clockSkew -> Refusal.Invalid("an idempotency key that was not issued in the future")
+                issued != null && issued > date + policy.clockSkew -> Refusal.Invalid("a key that was not issued in the future")
                 records.size >= policy.maxKeys -> Refusal.Overloaded(RETRY_AFTER)
                 else -> null
             }
@@ -299,7 +299,7 @@
         now: Duration,
         date: Instant,
     ): SurrenderResult {
-        val owned = ownershipHistory.lastOrNull()?.let { ownerOf(key, it.targets) } == self
+        val owned = history.lastOrNull()?.let { ownerOf(key, it.targets) } == self
         if (owned) return SurrenderResult.Uncertain("the previous owner of the key has not yet received the change of ownership")
         record.state = KeyState.Surrendered
         record.updatedAt = now
@@ -313,7 +313,7 @@
         date: Instant,
     ): String? {
         val issued = issueTime(key)
-        if (issued != null && issued < date - policy.retention + policy.clockSkew) return "the idempotency key is older than the retention time of keys"
+        if (issued != null && issued < date - policy.retention + policy.clockSkew) return "the key is older than the retention time"
         val newer = isNewer(issued, processStart, Duration.ZERO, now)
         return if (newer) null else "the request may have run before this process started to record keys"
     }
@@ -325,18 +325,18 @@
     ): List<TargetId> {
         val issued = issueTime(key)
         val transfers =
-            ownershipHistory.indices.drop(1).filter {
-                becameOwner(key, it, ownershipHistory[it]) &&
-                    !isNewer(issued, ownershipHistory[it], policy.propagationDelay, now)
+            history.indices.drop(1).filter {
+                becameOwner(key, it, history[it]) &&
+                    !isNewer(issued, history[it], policy.propagationDelay, now)
             }
-        return transfers.mapNotNull { ownerOf(key, ownershipHistory[it - 1].targets) }.distinct()
+        return transfers.mapNotNull { ownerOf(key, history[it - 1].targets) }.distinct()
     }
 
     private fun becameOwner(
         key: RepeatKey,
         index: Int,
         ownership: Ownership,
-    ): Boolean = ownerOf(key, ownership.targets) == self && ownerOf(key, ownershipHistory[index - 1].targets) != self
+    ): Boolean = ownerOf(key, ownership.targets) == self && ownerOf(key, history[index - 1].targets) != self
 
     private fun isNewer(
         issued: Instant?,
--- a/control/src/main/kotlin/lagoonrudder/control/ServingController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/ServingController.kt
@@ -32,7 +32,7 @@
     private val target: TargetId?,
 ) {
     private var shuttingDown = false
-    private var activeRequests = 0
+    private var active = 0
     private var lastTick: Duration? = null
 
     /** Completes when the process was told to stop and all in-flight requests have ended. */
@@ -45,15 +45,15 @@
     }
 
     fun onRequestStarted() {
-        activeRequests++
+        active++
     }
 
     fun onRequestEnded() {
-        activeRequests--
+        active--
         completeWhenDrained()
     }
 
-    fun activeRequests(): Int = activeRequests
+    fun active(): Int = active
 
     /** Records the periodic tick of the control thread; returns whether the process was paused since the last tick. */
     fun tick(now: Duration): Boolean {
@@ -77,12 +77,16 @@
             shuttingDown -> ServingState.Unavailable("leaving", SHORT_RETRY_AFTER)
             !confirmed -> ServingState.Unavailable("configuration not yet confirmed", LONG_RETRY_AFTER)
             objects.domains[domain]?.service == Service.OUT -> ServingState.Unavailable("failure domain out of service", SHORT_RETRY_AFTER)
-            target != null && objects.targets[target]?.service != Service.IN -> ServingState.Unavailable("target out of service", SHORT_RETRY_AFTER)
+            target != null && objects.targets[target]?.service != Service.IN ->
+                ServingState.Unavailable(
+                    "target out of service",
+                    SHORT_RETRY_AFTER,
+                )
             else -> ServingState.Serving
         }
 
     private fun completeWhenDrained() {
-        if (shuttingDown && activeRequests == 0) drained.complete(Unit)
+        if (shuttingDown && active == 0) drained.complete(Unit)
     }
 
     fun dump(): DumpSection =
@@ -90,7 +94,7 @@
             entry("domain", domain.text)
             entry("target", target?.text)
             entry("leaving", shuttingDown)
-            entry("in-hand", activeRequests)
+            entry("in-hand", active)
         }
 
     private companion object {
--- a/control/src/test/kotlin/lagoonrudder/control/ConcurrencyLimitControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/ConcurrencyLimitControllerTest.kt
@@ -75,7 +75,7 @@
             val rejected = limits.admit(RequestId("e"), 1).shouldBeInstanceOf<LimitDecision.Refused>()
             rejected.refusal.shouldBeInstanceOf<Refusal.Overloaded>()
             limits.load() shouldBe TargetLoad(2, 4, 898)
-            limits.cancelWaiting(RequestId("c"))
+            limits.withdraw(RequestId("c"))
             limits.onRequestFinished(RequestId("a"), EngineResult.Cancelled, 1.seconds)
             limits.admitNext() shouldBe RequestId("d")
             limits.admitNext() shouldBe null
--- a/control/src/test/kotlin/lagoonrudder/control/ResponseBufferControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/ResponseBufferControllerTest.kt
@@ -61,13 +61,13 @@
             val memory = memory(ResponseBufferPolicy.Windowed(window = 200, budget = 1_000))
             val held = mutableMapOf<RequestId, Long>()
             repeat(20_000) { step ->
-                val request = RequestId("r${random.nextInt(30)}")
+                val id = RequestId("r${random.nextInt(30)}")
                 val now = 1.seconds * step
                 when (random.nextInt(4)) {
-                    0 -> if (request !in held && memory.open(request, 10, now) is BufferDecision.Granted) held[request] = 10
-                    1 -> if (request in held && memory.reserve(request, 20) is BufferDecision.Granted) held[request] = held.getValue(request) + 20
-                    2 -> held[request]?.let { amount -> memory.onRead(request, amount, now).also { held[request] = 0 } }
-                    else -> if (held.remove(request) != null) memory.close(request)
+                    0 -> if (id !in held && memory.open(id, 10, now) is BufferDecision.Granted) held[id] = 10
+                    1 -> if (id in held && memory.reserve(id, 20) is BufferDecision.Granted) held[id] = held.getValue(id) + 20
+                    2 -> held[id]?.let { amount -> memory.onRead(id, amount, now).also { held[id] = 0 } }
+                    else -> if (held.remove(id) != null) memory.close(id)
                 }
                 memory.held() shouldBe held.values.sum()
                 memory.held() shouldBeLessThanOrEqual 1_000
--- a/control/src/test/kotlin/lagoonrudder/control/RoutingControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/RoutingControllerTest.kt
@@ -53,7 +53,8 @@
     now: Duration = Duration.ZERO,
 ) = reports.forEach { onTargetReport(it, now) }
 
-private fun RoutingController.selectedTarget(now: Duration = Duration.ZERO) = selectTarget(request(), now).shouldBeInstanceOf<RoutingDecision.Selected>().target.text
+private fun RoutingController.selectedTarget(now: Duration = Duration.ZERO) =
+    selectTarget(request(), now).shouldBeInstanceOf<RoutingDecision.Selected>().target.text
 
 class RoutingControllerTest :
     FunSpec({
@@ -99,7 +100,13 @@
                 report("west-a", limit = 8),
                 report("west-b", limit = 8),
             )
-            val spilled = generateSequence { routing.selectTarget(request(bytes = 1_000), Duration.ZERO) as? RoutingDecision.Selected }.toList()
+            val spilled =
+                generateSequence {
+                    routing.selectTarget(
+                        request(bytes = 1_000),
+                        Duration.ZERO,
+                    ) as? RoutingDecision.Selected
+                }.toList()
             spilled.size shouldBe 8
         }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationLoop.kt
@@ -274,7 +274,7 @@
         val revision = outcome.set.revision
         core.metrics.count("configuration.accepted", "accepted")
         core.log.info("configuration-accepted", "revision" to revision.number, "digest" to outcome.set.digest.hexadecimal, "peer" to peer)
-        if (outcome.replacedConflicting) core.log.error("configuration-twins", "revision" to revision.number, "peer" to peer, "kept" to "offered")
+        if (outcome.wonConflict) core.log.error("configuration-twins", "revision" to revision.number, "peer" to peer, "kept" to "offered")
         core.scope.launch { passOn(outcome) }
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/entry/EntryDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/entry/EntryDaemon.kt
@@ -80,7 +80,7 @@
     }
 
     override suspend fun stop() {
-        core.log.info("leaving", "in-hand" to core.thread.decide { core.service.activeRequests() })
+        core.log.info("leaving", "in-hand" to core.thread.decide { core.service.active() })
         core.thread.decide { core.service.beginShutdown() }
         core.service.drained.await()
         core.log.info("stopped")
@@ -99,7 +99,7 @@
 
     override fun status(): String =
         "name=${settings.name.text} role=entry domain=${settings.domain.text} ready=${ready()} " +
-            "revision=${core.configuration.current.revision.number} in-hand=${core.service.activeRequests()} violations=${core.invariants.total()}"
+            "revision=${core.configuration.current.revision.number} in-hand=${core.service.active()} violations=${core.invariants.total()}"
 
     override fun dump(): List<DumpSection> = control.dump() + uploads.dump()
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
@@ -6,12 +6,12 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.isActive
 import kotlinx.coroutines.launch
-import lagoonrudder.control.DumpSection
-import lagoonrudder.control.WeightHolder
 import lagoonrudder.control.ConcurrencyLimitController
+import lagoonrudder.control.DumpSection
 import lagoonrudder.control.IdempotencyController
 import lagoonrudder.control.VersionSwitchController
 import lagoonrudder.control.WeightFetchController
+import lagoonrudder.control.WeightHolder
 import lagoonrudder.daemon.Daemon
 import lagoonrudder.daemon.DaemonAddresses
 import lagoonrudder.daemon.DaemonCore
@@ -82,7 +82,7 @@
     }
 
     override suspend fun stop() {
-        core.log.info("leaving", "in-hand" to core.thread.decide { core.service.activeRequests() })
+        core.log.info("leaving", "in-hand" to core.thread.decide { core.service.active() })
         core.thread.decide {
             core.service.beginShutdown()
             control.publish()
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ControlMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ControlMeasure.kt
@@ -6,20 +6,20 @@
 import arrow.core.getOrElse
 import lagoonrudder.control.AdmissionController
 import lagoonrudder.control.CheckedSet
-import lagoonrudder.control.LoadBalancingPolicy
 import lagoonrudder.control.ConfigurationController
 import lagoonrudder.control.DispatchController
 import lagoonrudder.control.DispatchResult
-import lagoonrudder.control.RoutingRequest
+import lagoonrudder.control.DisseminationController
+import lagoonrudder.control.DisseminationPolicy
+import lagoonrudder.control.LoadBalancingPolicy
 import lagoonrudder.control.QueueBounds
 import lagoonrudder.control.QueueKey
 import lagoonrudder.control.QueuePolicy
-import lagoonrudder.control.TargetLoad
+import lagoonrudder.control.QueuedRequest
 import lagoonrudder.control.RoutingController
-import lagoonrudder.control.DisseminationController
-import lagoonrudder.control.DisseminationPolicy
+import lagoonrudder.control.RoutingRequest
+import lagoonrudder.control.TargetLoad
 import lagoonrudder.control.TargetReport
-import lagoonrudder.control.QueuedRequest
 import lagoonrudder.control.startsFrom
 import lagoonrudder.model.CustomerId
 import lagoonrudder.model.DaemonId
@@ -91,7 +91,10 @@
     val admission = AdmissionController(QueuePolicy.WeightedFair, QueueBounds(), invariants)
     val dispatch = DispatchController(admission, routing)
     for (target in routing.subset()) {
-        routing.onTargetReport(TargetReport(target.id, IncarnationId("i"), TargetLoad(64, 0, 1_000_000), VersionId("m-1"), true), Duration.ZERO)
+        routing.onTargetReport(
+            TargetReport(target.id, IncarnationId("i"), TargetLoad(64, 0, 1_000_000), VersionId("m-1"), true),
+            Duration.ZERO,
+        )
     }
     repeat(WARM_UP) { oneRequest(dispatch, routing, it) }
     val took = measureTime { repeat(REQUESTS) { oneRequest(dispatch, routing, it) } }
@@ -109,7 +112,7 @@
     val waiting = QueuedRequest(request, QueueKey(fleet, null), CustomerId("customer-${number % 100}"), 1, 1, 100, 500, now + 10.seconds)
     dispatch.enqueue(waiting, RoutingRequest(fleet, null, 100, 500, number % 50, emptySet()), now)
     for (sent in dispatch.dispatchWaiting(now)) {
-        if (sent !is DispatchResult.Forward) continue
+        if (sent !is DispatchResult.Sent) continue
         routing.onLoadUpdate(sent.target, TargetLoad(64, 1, 1_000_000), now)
         dispatch.onRequestEnded(waiting, sent.target, failed = false, Duration.ZERO, now)
     }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/TrafficMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/TrafficMeasure.kt
@@ -5,8 +5,8 @@
 
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import lagoonrudder.control.LoadBalancingPolicy
 import lagoonrudder.control.LimitPolicy
+import lagoonrudder.control.LoadBalancingPolicy
 import lagoonrudder.control.QueuePolicy
 import lagoonrudder.control.ResponseBufferPolicy
 import lagoonrudder.model.ObjectSet
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/Messages.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/Messages.kt
@@ -6,9 +6,9 @@
 import arrow.core.Either
 import kotlinx.coroutines.flow.Flow
 import lagoonrudder.control.IdempotencyDecision
-import lagoonrudder.control.TargetLoad
 import lagoonrudder.control.SurrenderResult
 import lagoonrudder.control.SwitchReport
+import lagoonrudder.control.TargetLoad
 import lagoonrudder.control.TargetReport
 import lagoonrudder.model.CustomerId
 import lagoonrudder.model.Digest
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AdmitFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AdmitFilter.kt
@@ -8,9 +8,9 @@
 import kotlinx.coroutines.NonCancellable
 import kotlinx.coroutines.withContext
 import lagoonrudder.control.DispatchResult
-import lagoonrudder.control.RoutingRequest
 import lagoonrudder.control.QueueKey
 import lagoonrudder.control.QueuedRequest
+import lagoonrudder.control.RoutingRequest
 import lagoonrudder.control.keyOwners
 import lagoonrudder.control.ownerOf
 import lagoonrudder.control.prefixOf
@@ -39,7 +39,7 @@
         call.ticket = ticketFor(identity, owner)
         return when (val turn = awaitTurn(control, call.ticket) { enqueue(it) }) {
             is DispatchResult.Refused -> Outcome.Refused(turn.refusal, Step.ADMIT, Peer.SELF)
-            is DispatchResult.Forward -> {
+            is DispatchResult.Sent -> {
                 call.choice = turn
                 next.proceed(call)
             }
@@ -101,7 +101,7 @@
             withContext(NonCancellable) {
                 control.thread.decide {
                     val granted = if (sleeper.isCompleted) sleeper.getCompletedOrNull() else null
-                    if (granted is DispatchResult.Forward) control.ended(ticket, granted.target, failed = false) else control.cancelWaiting(ticket)
+                    if (granted is DispatchResult.Sent) control.ended(ticket, granted.target, failed = false) else control.withdraw(ticket)
                 }
             }
         }
@@ -109,4 +109,5 @@
 }
 
 @OptIn(ExperimentalCoroutinesApi::class)
-private fun Deferred<DispatchResult>.getCompletedOrNull(): DispatchResult? = if (getCompletionExceptionOrNull() == null) getCompleted() else null
+private fun Deferred<DispatchResult>.getCompletedOrNull(): DispatchResult? =
+    if (getCompletionExceptionOrNull() == null) getCompleted() else null
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryCall.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryCall.kt
@@ -4,8 +4,8 @@
 package lagoonrudder.traffic.entry
 
 import lagoonrudder.control.DispatchResult
-import lagoonrudder.control.RoutingRequest
 import lagoonrudder.control.QueuedRequest
+import lagoonrudder.control.RoutingRequest
 import lagoonrudder.model.Failure
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.RepeatKey
@@ -77,6 +77,6 @@
     fun identityOrNull(): Identity? = if (::identity.isInitialized) identity else null
 
     lateinit var ticket: Ticket
-    lateinit var choice: DispatchResult.Forward
+    lateinit var choice: DispatchResult.Sent
     lateinit var relay: AnswerRelay
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/SendFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/SendFilter.kt
@@ -21,8 +21,8 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withContext
 import lagoonrudder.control.DispatchResult
-import lagoonrudder.control.RecordedResponse
 import lagoonrudder.control.IdempotencyDecision
+import lagoonrudder.control.RecordedResponse
 import lagoonrudder.control.TargetLoad
 import lagoonrudder.model.Clock
 import lagoonrudder.model.Failure
@@ -191,7 +191,7 @@
         val turn = awaitTurn(control, ticket) { requeue(it) }
         return when (turn) {
             is DispatchResult.Refused -> endWithout(turn.refusal, Peer.SELF)
-            is DispatchResult.Forward -> {
+            is DispatchResult.Sent -> {
                 target = turn.target
                 null
             }
@@ -238,7 +238,10 @@
             is IdempotencyDecision.Permitted -> attemptRun(instance, RunPermit(key, decision.permit))
             is IdempotencyDecision.Refused -> AttemptResult.TurnedAway(decision.refusal, peer, null)
             is IdempotencyDecision.Uncertain -> unknown(Failure.Declined(Step.GUARD_REPEATS, peer, decision.detail))
-            is IdempotencyDecision.QueryPreviousOwners -> unknown(Failure.Damaged(Step.GUARD_REPEATS, peer, "an answer that is not for entry daemons"))
+            is IdempotencyDecision.QueryPreviousOwners ->
+                unknown(
+                    Failure.Damaged(Step.GUARD_REPEATS, peer, "an answer that is not for entry daemons"),
+                )
             is IdempotencyDecision.AlreadyRan -> repeatAnswer(decision.response, peer)
         }
     }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/TargetControl.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/TargetControl.kt
@@ -7,21 +7,21 @@
 import kotlinx.coroutines.Deferred
 import kotlinx.coroutines.flow.MutableStateFlow
 import kotlinx.coroutines.flow.StateFlow
+import lagoonrudder.control.ConcurrencyLimitController
 import lagoonrudder.control.ConfigurationController
 import lagoonrudder.control.ControlThread
 import lagoonrudder.control.DumpSection
 import lagoonrudder.control.EngineResult
-import lagoonrudder.control.WeightHolder
-import lagoonrudder.control.ConcurrencyLimitController
+import lagoonrudder.control.IdempotencyController
 import lagoonrudder.control.LimitDecision
 import lagoonrudder.control.MembershipController
-import lagoonrudder.control.IdempotencyController
 import lagoonrudder.control.ServingController
 import lagoonrudder.control.ServingState
-import lagoonrudder.control.VersionSwitchController
 import lagoonrudder.control.TargetCapacity
 import lagoonrudder.control.TargetReport
+import lagoonrudder.control.VersionSwitchController
 import lagoonrudder.control.WeightFetchController
+import lagoonrudder.control.WeightHolder
 import lagoonrudder.control.keyOwners
 import lagoonrudder.control.refusal
 import lagoonrudder.model.Clock
@@ -125,7 +125,7 @@
     /** The request gives up waiting; null when it was admitted meanwhile. */
     fun giveUp(request: RequestId): Refusal? {
         if (turns.remove(request) == null) return null
-        limits.cancelWaiting(request)
+        limits.withdraw(request)
         publish()
         return Refusal.Overloaded(RETRY)
     }
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/Mapping.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/Mapping.kt
@@ -5,13 +5,13 @@
  */
 package lagoonrudder.wire.messages
 
+import lagoonrudder.control.IdempotencyDecision
 import lagoonrudder.control.InstanceChanges
 import lagoonrudder.control.RecordedResponse
-import lagoonrudder.control.IdempotencyDecision
-import lagoonrudder.control.TargetLoad
 import lagoonrudder.control.SurrenderResult
 import lagoonrudder.control.SwitchReport
 import lagoonrudder.control.SwitchStatus
+import lagoonrudder.control.TargetLoad
 import lagoonrudder.control.TargetReport
 import lagoonrudder.model.CustomerId
 import lagoonrudder.model.DaemonId
