--- a/control/src/main/kotlin/lagoonrudder/control/CheckedSet.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/CheckedSet.kt
@@ -12,24 +12,24 @@
 import arrow.core.right
 import lagoonrudder.model.Failure
 import lagoonrudder.model.Peer
-import lagoonrudder.model.SealedChanges
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.SnapshotDelta
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Step
 import lagoonrudder.model.changesBetween
 import lagoonrudder.model.checkObjects
 
 /** A valid [set] that [peer] offered. [changes] lead to it from [base]. */
 class CheckedSet private constructor(
-    val set: SealedSet,
-    val base: SealedSet,
-    val changes: SealedChanges,
+    val set: ObjectSnapshot,
+    val base: ObjectSnapshot,
+    val changes: SnapshotDelta,
     val peer: Peer,
 ) {
     companion object {
         /** Validates a full set that [peer] offered to a process whose active set is [base]. */
         fun ofFullSet(
-            offered: SealedSet,
-            base: SealedSet,
+            offered: ObjectSnapshot,
+            base: ObjectSnapshot,
             peer: Peer,
         ): Either<Failure, CheckedSet> =
             checkObjects(offered.objects, peer.toString())
@@ -38,22 +38,22 @@
 
         /** Applies changes that [peer] offered to [base], verifies the digest of the result, and validates it. */
         fun ofChanges(
-            offered: SealedChanges,
-            base: SealedSet,
+            offered: SnapshotDelta,
+            base: ObjectSnapshot,
             peer: Peer,
         ): Either<Failure, CheckedSet> {
-            val result = SealedSet(offered.revision, base.objects.plus(offered.changes))
+            val result = ObjectSnapshot(offered.revision, base.objects.plus(offered.changes))
             val verified = if (result.digest == offered.digest) result.right() else digestMismatch(offered, peer).left()
             return verified.flatMap { ofFullSet(it, base, peer) }
         }
 
         private fun changesFrom(
-            base: SealedSet,
-            set: SealedSet,
-        ) = SealedChanges(base.revision, base.digest, set.revision, set.digest, changesBetween(base.objects, set.objects))
+            base: ObjectSnapshot,
+            set: ObjectSnapshot,
+        ) = SnapshotDelta(base.revision, base.digest, set.revision, set.digest, changesBetween(base.objects, set.objects))
 
         private fun digestMismatch(
-            offered: SealedChanges,
+            offered: SnapshotDelta,
             peer: Peer,
         ): Failure =
             Failure.Damaged(
@@ -66,6 +66,6 @@
 
 /** Whether [offered] applies to [base]. */
 fun startsFrom(
-    offered: SealedChanges,
-    base: SealedSet,
+    offered: SnapshotDelta,
+    base: ObjectSnapshot,
 ): Boolean = offered.base == base.revision && offered.baseDigest == base.digest
--- a/control/src/main/kotlin/lagoonrudder/control/ConfigurationController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/ConfigurationController.kt
@@ -12,8 +12,8 @@
 import lagoonrudder.model.Invariant
 import lagoonrudder.model.Invariants
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedChanges
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.SnapshotDelta
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Step
 import kotlin.time.Duration
 
@@ -24,8 +24,8 @@
      * had the same revision and another digest.
      */
     data class Accepted(
-        val set: SealedSet,
-        val changes: SealedChanges,
+        val set: ObjectSnapshot,
+        val changes: SnapshotDelta,
         val wonConflict: Boolean,
     ) : ConfigurationOutcome()
 
@@ -59,18 +59,18 @@
 
 /** An active set and the process-local time at which it became active. */
 data class ActiveSet(
-    val set: SealedSet,
+    val set: ObjectSnapshot,
     val since: Duration,
 )
 
 class ConfigurationController(
     private val invariants: Invariants,
 ) {
-    var current: SealedSet = SealedSet.EMPTY
+    var current: ObjectSnapshot = ObjectSnapshot.EMPTY
         private set
     var confirmation: Confirmation = Confirmation.Pending(Duration.ZERO, Duration.INFINITE)
         private set
-    private val recentChanges = ArrayDeque<SealedChanges>()
+    private val recentChanges = ArrayDeque<SnapshotDelta>()
     private var conflicts = 0
     private var rejections = 0
 
@@ -98,7 +98,7 @@
     fun changesSince(
         base: Revision,
         baseDigest: Digest,
-    ): SealedChanges? = recentChanges.firstOrNull { it.base == base && it.baseDigest == baseDigest && it.revision == current.revision }
+    ): SnapshotDelta? = recentChanges.firstOrNull { it.base == base && it.baseDigest == baseDigest && it.revision == current.revision }
 
     /** Holds back new requests until [confirm] is called or [limit] has passed. */
     fun requireConfirmation(
@@ -157,7 +157,7 @@
         return ConfigurationOutcome.Accepted(set, offered.changes, wonConflict)
     }
 
-    private fun recordChanges(changes: SealedChanges) {
+    private fun recordChanges(changes: SnapshotDelta) {
         val extended = recentChanges.map { combine(it, changes) }
         recentChanges.clear()
         recentChanges.addAll(extended)
@@ -169,9 +169,9 @@
     }
 
     private fun combine(
-        first: SealedChanges,
-        second: SealedChanges,
-    ): SealedChanges {
+        first: SnapshotDelta,
+        second: SnapshotDelta,
+    ): SnapshotDelta {
         val changed = first.changes.changed.associateBy { it.key } - second.changes.removed.toSet()
         val removed =
             first.changes.removed.toSet() -
--- a/control/src/main/kotlin/lagoonrudder/control/IdempotencyController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/IdempotencyController.kt
@@ -15,7 +15,7 @@
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.rendezvousFirst
@@ -141,7 +141,7 @@
         val sinceElapsed: Duration,
     )
 
-    private val records = LinkedHashMap<RepeatKey, KeyRecord>()
+    private val records = LinkedHashMap<IdempotencyKey, KeyRecord>()
     private val history = ArrayDeque<Ownership>()
     private val processStart = Ownership(emptyList(), startedAt, startedElapsed)
     private var nextPermit = 1L
@@ -163,7 +163,7 @@
      * owners that have released the key.
      */
     fun reserve(
-        key: RepeatKey,
+        key: IdempotencyKey,
         body: Digest,
         now: Duration,
         date: Instant,
@@ -183,7 +183,7 @@
 
     /** Surrenders [key] to its new owner. An unused permit becomes void; a run that has begun is reported. */
     fun surrender(
-        key: RepeatKey,
+        key: IdempotencyKey,
         now: Duration,
         date: Instant,
     ): SurrenderResult {
@@ -198,7 +198,7 @@
 
     /** Starts the run of [key] if [permit] is the latest permit of the key and has not expired. */
     fun beginRun(
-        key: RepeatKey,
+        key: IdempotencyKey,
         permit: Long,
         now: Duration,
     ): RunDecision {
@@ -215,7 +215,7 @@
 
     /** The run of [key] completed with [response]. */
     fun onRunEnded(
-        key: RepeatKey,
+        key: IdempotencyKey,
         response: RecordedResponse,
         now: Duration,
     ) {
@@ -227,7 +227,7 @@
     }
 
     /** The run of [key] provably did not reach the back end, so the key may run later. */
-    fun onNotRun(key: RepeatKey) {
+    fun onNotRun(key: IdempotencyKey) {
         val record = records[key] ?: return
         record.runs = 0
         record.state = KeyState.NotStarted
@@ -235,7 +235,7 @@
 
     /** The run of [key] was interrupted and may have taken effect. */
     fun onRunLost(
-        key: RepeatKey,
+        key: IdempotencyKey,
         now: Duration,
     ) {
         val record = records[key] ?: return
@@ -278,7 +278,7 @@
     }
 
     private fun rejectionForNewKey(
-        key: RepeatKey,
+        key: IdempotencyKey,
         date: Instant,
     ): IdempotencyDecision? {
         val owned = history.lastOrNull()?.let { ownerOf(key, it.targets) } == self
@@ -295,7 +295,7 @@
 
     private fun releaseKey(
         record: KeyRecord,
-        key: RepeatKey,
+        key: IdempotencyKey,
         now: Duration,
         date: Instant,
     ): SurrenderResult {
@@ -308,7 +308,7 @@
 
     /** Returns why a key without a record may have run in an earlier run of this process, or null if it can't have. */
     private fun uncertaintyReason(
-        key: RepeatKey,
+        key: IdempotencyKey,
         now: Duration,
         date: Instant,
     ): String? {
@@ -320,7 +320,7 @@
 
     /** Returns the targets that owned [key] before this target did, at a time when it may already have been sent. */
     private fun previousOwners(
-        key: RepeatKey,
+        key: IdempotencyKey,
         now: Duration,
     ): List<TargetId> {
         val issued = issueTime(key)
@@ -333,7 +333,7 @@
     }
 
     private fun becameOwner(
-        key: RepeatKey,
+        key: IdempotencyKey,
         index: Int,
         ownership: Ownership,
     ): Boolean = ownerOf(key, ownership.targets) == self && ownerOf(key, history[index - 1].targets) != self
@@ -382,7 +382,7 @@
 
 /** Returns the owner of [key] among [targets], which is the same in every process with the same active set. */
 fun ownerOf(
-    key: RepeatKey,
+    key: IdempotencyKey,
     targets: List<TargetId>,
 ): TargetId? = rendezvousFirst(key.text, targets) { it.text }
 
@@ -392,7 +392,7 @@
 private const val HEXADECIMAL = 16
 
 /** Returns the time at which [key] was issued if it is a version 7 UUID, or null otherwise. */
-fun issueTime(key: RepeatKey): Instant? {
+fun issueTime(key: IdempotencyKey): Instant? {
     val text = key.text.lowercase()
     if (!text.matches(version7)) return null
     val milliseconds = text.replace("-", "").take(TIME_DIGITS).toLong(HEXADECIMAL)
--- a/control/src/test/kotlin/lagoonrudder/control/ConfigurationControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/ConfigurationControllerTest.kt
@@ -6,7 +6,7 @@
 import io.kotest.matchers.types.shouldBeInstanceOf
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.objectSet
 import kotlin.random.Random
 import kotlin.time.Duration
@@ -18,7 +18,7 @@
     revision: Long,
     objects: ObjectSet,
 ): ConfigurationOutcome {
-    val checked = CheckedSet.ofFullSet(SealedSet(Revision(revision), objects), current, somePeer)
+    val checked = CheckedSet.ofFullSet(ObjectSnapshot(Revision(revision), objects), current, somePeer)
     return offer(checked.getOrElse { error(it.describe()) })
 }
 
@@ -45,7 +45,7 @@
 
         test("a set that fails validation can't be offered") {
             val broken = objectSet { domain("ost", region = "nowhere") }
-            CheckedSet.ofFullSet(SealedSet(Revision(1), broken), SealedSet.EMPTY, somePeer).isLeft() shouldBe true
+            CheckedSet.ofFullSet(ObjectSnapshot(Revision(1), broken), ObjectSnapshot.EMPTY, somePeer).isLeft() shouldBe true
         }
 
         test("changes that don't result in their digest are rejected") {
@@ -62,7 +62,7 @@
         test("combined changes lead from any recent set to the active one") {
             val random = Random(11)
             val controller = ConfigurationController(strictInvariants())
-            val history = mutableListOf<SealedSet>()
+            val history = mutableListOf<ObjectSnapshot>()
             for (revision in 1L..30L) {
                 controller.offerFullSet(revision, objectsWith(random.nextInt(1, 12)))
                 history += controller.current
@@ -75,7 +75,7 @@
 
         test("a set validated against a base that was replaced must be validated again") {
             val controller = ConfigurationController(strictInvariants())
-            val checked = CheckedSet.ofFullSet(SealedSet(Revision(2), objectsWith(1)), controller.current, somePeer).getOrNull()!!
+            val checked = CheckedSet.ofFullSet(ObjectSnapshot(Revision(2), objectsWith(1)), controller.current, somePeer).getOrNull()!!
             controller.offerFullSet(1, objectsWith(2))
             controller.offer(checked) shouldBe ConfigurationOutcome.BaseChanged
         }
--- a/control/src/test/kotlin/lagoonrudder/control/IdempotencyControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/IdempotencyControllerTest.kt
@@ -4,7 +4,7 @@
 import io.kotest.matchers.shouldBe
 import io.kotest.matchers.types.shouldBeInstanceOf
 import lagoonrudder.model.Digest
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.digestOf
 import kotlin.time.Duration
@@ -21,9 +21,9 @@
 private fun keyAt(
     at: Duration,
     number: Int = 1,
-): RepeatKey {
+): IdempotencyKey {
     val time = (epoch + at).toEpochMilliseconds().toString(16).padStart(12, '0')
-    return RepeatKey("${time.take(8)}-${time.drop(8)}-7000-8000-${number.toString(16).padStart(12, '0')}")
+    return IdempotencyKey("${time.take(8)}-${time.drop(8)}-7000-8000-${number.toString(16).padStart(12, '0')}")
 }
 
 /** Returns a key issued at [at] that [owner] owns among [targets]. */
@@ -31,7 +31,7 @@
     owner: TargetId,
     targets: List<TargetId>,
     at: Duration,
-): RepeatKey = (1..1_000).map { keyAt(at, it) }.first { ownerOf(it, targets) == owner }
+): IdempotencyKey = (1..1_000).map { keyAt(at, it) }.first { ownerOf(it, targets) == owner }
 
 private class OwnerFixture(
     val self: TargetId,
@@ -45,19 +45,19 @@
     ) = controller.configure(targets, at, epoch + at)
 
     fun reserve(
-        key: RepeatKey,
+        key: IdempotencyKey,
         at: Duration,
         releasedBy: Set<TargetId> = emptySet(),
         content: Digest = body,
     ) = controller.reserve(key, content, at, epoch + at, releasedBy)
 
     fun surrender(
-        key: RepeatKey,
+        key: IdempotencyKey,
         at: Duration,
     ) = controller.surrender(key, at, epoch + at)
 
     fun run(
-        key: RepeatKey,
+        key: IdempotencyKey,
         at: Duration,
     ): RunDecision = controller.beginRun(key, reserve(key, at).shouldBeInstanceOf<IdempotencyDecision.Permitted>().permit, at)
 }
@@ -122,8 +122,8 @@
 
         test("a key without a time of issue runs only after the owner has recorded keys for the retention time") {
             val owner = owner()
-            owner.reserve(RepeatKey("fee-17"), 5.minutes).shouldBeInstanceOf<IdempotencyDecision.Uncertain>()
-            owner.reserve(RepeatKey("fee-17"), 11.minutes).shouldBeInstanceOf<IdempotencyDecision.Permitted>()
+            owner.reserve(IdempotencyKey("fee-17"), 5.minutes).shouldBeInstanceOf<IdempotencyDecision.Uncertain>()
+            owner.reserve(IdempotencyKey("fee-17"), 11.minutes).shouldBeInstanceOf<IdempotencyDecision.Permitted>()
         }
 
         test("a key older than the retention time is uncertain, and a key from the future is rejected") {
--- a/control/src/test/kotlin/lagoonrudder/control/RoutingControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/RoutingControllerTest.kt
@@ -8,7 +8,7 @@
 import lagoonrudder.model.FleetId
 import lagoonrudder.model.IncarnationId
 import lagoonrudder.model.ObjectSet
-import lagoonrudder.model.Service
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.objectSet
@@ -25,7 +25,7 @@
         region("west")
         link("ost", "west", linkBytes)
         domain("ost")
-        domain("west", service = if (westOut) Service.OUT else Service.IN)
+        domain("west", service = if (westOut) AdminState.OUT else AdminState.IN)
         model("m")
         version("m-1", "m")
         engineFleet("workers", "m-1")
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationLoop.kt
@@ -25,20 +25,20 @@
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedChanges
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.SnapshotDelta
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.wire.documents.SealedHead
 import lagoonrudder.wire.documents.readHead
 import lagoonrudder.wire.documents.readParts
-import lagoonrudder.wire.documents.readWhole
+import lagoonrudder.wire.documents.readSet
 import lagoonrudder.wire.documents.writeChanges
-import lagoonrudder.wire.documents.writeWhole
+import lagoonrudder.wire.documents.writeSet
 import lagoonrudder.wire.messages.ExchangeMessage
 import lagoonrudder.wire.messages.ExchangeReply
 import lagoonrudder.wire.messages.OfferMessage
 import lagoonrudder.wire.messages.OfferReply
 import lagoonrudder.wire.messages.toMessage
-import lagoonrudder.wire.rpc.ExchangeAnswer
+import lagoonrudder.wire.rpc.ExchangeResult
 import java.util.concurrent.ConcurrentHashMap
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -87,13 +87,13 @@
     /** A peer passed a set on. */
     suspend fun take(message: OfferMessage): OfferReply {
         val peer = Peer(PeerRole.ENTRY, message.sender)
-        if (message.whole) {
+        if (message.full) {
             offerWholeText(message.text, peer)
             return OfferReply()
         }
         val head = readHead(message.text, peer).getOrElse { return reject(it) }
-        val changes = head.changes ?: return OfferReply(wholeNeeded = true)
-        return OfferReply(wholeNeeded = !offerChanges(changes, peer))
+        val changes = head.changes ?: return OfferReply(needsFullSet = true)
+        return OfferReply(needsFullSet = !offerChanges(changes, peer))
     }
 
     /** A peer says what it has and is told what is newer here. */
@@ -112,8 +112,8 @@
 
     /** What this process has and what a peer lacks of it. */
     private data class Known(
-        val set: SealedSet,
-        val changes: SealedChanges?,
+        val set: ObjectSnapshot,
+        val changes: SnapshotDelta?,
         val instances: InstanceChanges?,
     )
 
@@ -128,17 +128,17 @@
     )
 
     private fun isNewer(
-        current: SealedSet,
+        current: ObjectSnapshot,
         revision: Revision,
         digest: Digest,
     ): Boolean = current.revision > revision || (current.revision == revision && revision > Revision.NONE && current.digest > digest)
 
     private fun offerMessage(
-        current: SealedSet,
-        changes: SealedChanges?,
+        current: ObjectSnapshot,
+        changes: SnapshotDelta?,
     ): OfferMessage {
         val sender = core.settings.name.text
-        return if (changes == null) OfferMessage(sender, true, writeWhole(current)) else OfferMessage(sender, false, writeChanges(changes))
+        return if (changes == null) OfferMessage(sender, true, writeSet(current)) else OfferMessage(sender, false, writeChanges(changes))
     }
 
     /** Runs [watch] over and over while this daemon is a watcher, with pauses that grow while it fails. */
@@ -223,12 +223,12 @@
         text: String,
         peer: Peer,
     ) {
-        readWhole(text, peer).fold({ reject(it) }) { offerWhole(it, peer) }
+        readSet(text, peer).fold({ reject(it) }) { offerWhole(it, peer) }
     }
 
     /** Offers changes; false when the whole set is needed. */
     private suspend fun offerChanges(
-        changes: SealedChanges,
+        changes: SnapshotDelta,
         peer: Peer,
     ): Boolean {
         val current = core.thread.decide { core.configuration.current }
@@ -243,7 +243,7 @@
     }
 
     private suspend fun offerWhole(
-        offered: SealedSet,
+        offered: ObjectSnapshot,
         peer: Peer,
     ) {
         val current = core.thread.decide { core.configuration.current }
@@ -305,11 +305,11 @@
     private suspend fun pass(
         child: Instance,
         message: OfferMessage,
-        set: SealedSet,
+        set: ObjectSnapshot,
     ) {
         val reply = core.rpc.offer(child.address, message, OFFER_LIMIT)
-        val wholeNeeded = reply.fold({ unheard(child.daemon, it) }, { it.wholeNeeded })
-        if (wholeNeeded) core.rpc.offer(child.address, OfferMessage(core.settings.name.text, true, writeWhole(set)), OFFER_LIMIT)
+        val needsFullSet = reply.fold({ unheard(child.daemon, it) }, { it.needsFullSet })
+        if (needsFullSet) core.rpc.offer(child.address, OfferMessage(core.settings.name.text, true, writeSet(set)), OFFER_LIMIT)
     }
 
     private suspend fun unheard(
@@ -377,19 +377,19 @@
     }
 
     private suspend fun takeReply(
-        reply: ExchangeAnswer,
+        reply: ExchangeResult,
         address: Address,
-        own: SealedSet,
+        own: ObjectSnapshot,
     ) {
         reply.instances?.let { changes -> core.thread.decide { if (core.membership.apply(changes)) changed() } }
         val offer = reply.offer
         if (offer != null) {
-            val wholeNeeded = take(offer).wholeNeeded
-            if (wholeNeeded) core.rpc.exchange(address, ExchangeMessage(), OFFER_LIMIT).onRight { whole -> whole.offer?.let { take(it) } }
+            val needsFullSet = take(offer).needsFullSet
+            if (needsFullSet) core.rpc.exchange(address, ExchangeMessage(), OFFER_LIMIT).onRight { full -> full.offer?.let { take(it) } }
             return
         }
         val peerBehind = isNewer(own, reply.revision, reply.digest)
-        if (peerBehind) core.rpc.offer(address, OfferMessage(core.settings.name.text, true, writeWhole(own)), OFFER_LIMIT)
+        if (peerBehind) core.rpc.offer(address, OfferMessage(core.settings.name.text, true, writeSet(own)), OFFER_LIMIT)
     }
 
     private companion object {
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntry.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntry.kt
@@ -14,10 +14,10 @@
 import lagoonrudder.http.HttpServer
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.TargetId
-import lagoonrudder.platform.BackEndEnd
-import lagoonrudder.platform.CallerEnd
+import lagoonrudder.platform.BackEndHttpClient
+import lagoonrudder.platform.CallerRequestHandler
 import lagoonrudder.platform.DEFAULT_LIMITS
-import lagoonrudder.platform.ReadyEnd
+import lagoonrudder.platform.ReadinessRequestHandler
 import lagoonrudder.traffic.FilterChain
 import lagoonrudder.traffic.direct.DirectCall
 import lagoonrudder.traffic.direct.DirectControl
@@ -60,11 +60,11 @@
 
     override suspend fun start() {
         val listen = checkNotNull(settings.listen)
-        val chain = FilterChain(directFilters(control, BackEndEnd(core.http), random, ::ended))
+        val chain = FilterChain(directFilters(control, BackEndHttpClient(core.http), random, ::ended))
         val endpoint = PeerEndpoint(core, pieces, placement::inFlight, ::published)
         HttpServer.start(core.loop, core.scope, listen.peers, { HttpServer.PEER_LIMITS }, endpoint)
-        HttpServer.start(core.loop, core.scope, listen.ready, { HttpServer.PEER_LIMITS }, ReadyEnd { ready() })
-        callers = HttpServer.start(core.loop, core.scope, listen.callers, { limits }, CallerEnd(chain, core.clock))
+        HttpServer.start(core.loop, core.scope, listen.ready, { HttpServer.PEER_LIMITS }, ReadinessRequestHandler { ready() })
+        callers = HttpServer.start(core.loop, core.scope, listen.callers, { limits }, CallerRequestHandler(chain, core.clock))
         serveOperators(this)
         core.scope.launch { store.run() }
         core.scope.launch { peers.run() }
@@ -76,15 +76,15 @@
         val started = core.clock.elapsed()
         val server = callers ?: return
         leaving = true
-        core.log.info("leaving", "in-hand" to server.inHand)
+        core.log.info("leaving", "in-hand" to server.activeRequests)
         delay(BALANCER_NOTICES)
-        server.retire()
+        server.drain()
         val last = started + settings.bounds.stopGrace - STOP_MARGIN
         delay(RETIRE_NOTICE)
         // A request that was read just before the process ends would get no answer.
         server.stopReading()
-        while (server.inHand > 0 && core.clock.elapsed() < last) delay(STOP_CHECK)
-        core.log.info("stopped", "in-hand" to server.inHand, "took" to core.clock.elapsed() - started)
+        while (server.activeRequests > 0 && core.clock.elapsed() < last) delay(STOP_CHECK)
+        core.log.info("stopped", "in-hand" to server.activeRequests, "took" to core.clock.elapsed() - started)
     }
 
     /** Something that this process believes has changed; runs on the control thread. */
@@ -106,7 +106,7 @@
             gone.forEach { core.log.info("back-end-gone", "target" to it.text, "source" to "lapsed") }
             if (pause != null) {
                 core.log.warning("paused", "for" to pause)
-                core.http.forget(settings.store)
+                core.http.closeIdle(settings.store)
                 store.hurry()
             }
         }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerLoop.kt
@@ -16,14 +16,14 @@
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.rendezvousOrder
 import lagoonrudder.platform.readItem
-import lagoonrudder.wire.messages.WordMessage
-import lagoonrudder.wire.messages.WordReply
+import lagoonrudder.wire.messages.GossipMessage
+import lagoonrudder.wire.messages.GossipReply
 import lagoonrudder.wire.messages.toItem
 import lagoonrudder.wire.messages.toLoads
 import lagoonrudder.wire.messages.toMessage
 import lagoonrudder.wire.messages.toMessages
 import lagoonrudder.wire.messages.toPeer
-import lagoonrudder.wire.messages.toSighting
+import lagoonrudder.wire.messages.toLivePeer
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
@@ -57,7 +57,7 @@
     /** Tells all live entry daemons at once what [slot] says. */
     suspend fun announce() {
         val addresses = core.thread.decide { core.peers.liveEntries(core.clock.elapsed()).mapNotNull { it.address } }
-        addresses.forEach { address -> core.scope.launch { exchange(address, wantsPeers = false) } }
+        addresses.forEach { address -> core.scope.launch { exchange(address, peersRequested = false) } }
     }
 
     private suspend fun exchangeWithAll() {
@@ -75,7 +75,7 @@
         var failures = 0
         var round = 0
         while (currentCoroutineContext().isActive) {
-            val heard = exchange(address, wantsPeers = round++ % PEERS_EVERY == 0)
+            val heard = exchange(address, peersRequested = round++ % PEERS_EVERY == 0)
             failures = if (heard) 0 else failures + 1
             val pause = if (address in nearPartners) EXCHANGE_PAUSE else FAR_EXCHANGE_PAUSE
             delay(if (heard) pause else (FAILED_PAUSE * failures).coerceAtMost(LONGEST_PAUSE))
@@ -94,7 +94,7 @@
         var failures = 0
         while (currentCoroutineContext().isActive) {
             val candidates = core.thread.decide { candidates() }
-            val heard = candidates.isNotEmpty() && exchange(candidates[failures % candidates.size], wantsPeers = true)
+            val heard = candidates.isNotEmpty() && exchange(candidates[failures % candidates.size], peersRequested = true)
             if (!heard) failures++
             delay(if (heard) TARGET_PAUSE else FAILED_PAUSE)
         }
@@ -108,9 +108,9 @@
 
     private suspend fun exchange(
         address: Address,
-        wantsPeers: Boolean,
+        peersRequested: Boolean,
     ): Boolean {
-        val message = core.thread.decide { word(wantsPeers) }
+        val message = core.thread.decide { word(peersRequested) }
         return when (val reply = client.word(address, message)) {
             is Either.Left -> false
             is Either.Right -> {
@@ -121,14 +121,14 @@
         }
     }
 
-    private fun word(wantsPeers: Boolean): WordMessage {
+    private fun word(peersRequested: Boolean): GossipMessage {
         val lags = behindSince?.let { core.clock.elapsed() - it > LAG_ALLOWED } ?: false
-        val wantsItems = lags || !core.publication.confirmed || core.self.role == DaemonRole.TARGET
-        return WordMessage(core.self.toMessage(), core.publication.at, wantsItems, loads().toMessages(), slot?.toMessage(), wantsPeers)
+        val itemsRequested = lags || !core.publication.confirmed || core.self.role == DaemonRole.TARGET
+        return GossipMessage(core.self.toMessage(), core.publication.at, itemsRequested, loads().toMessages(), slot?.toMessage(), peersRequested)
     }
 
     private suspend fun take(
-        reply: WordReply,
+        reply: GossipReply,
         address: Address,
     ) {
         val items = reply.items.map { readItem(it.toItem()) }
@@ -136,7 +136,7 @@
             core.thread.decide {
                 val now = core.clock.elapsed()
                 core.peers.heard(reply.self.toPeer(), reply.loads.toLoads(), now)
-                core.peers.sighted(reply.sightings.map { it.toSighting() }, now)
+                core.peers.sighted(reply.sightings.map { it.toLivePeer() }, now)
                 val behind = reply.at > core.publication.at
                 if (!behind) {
                     behindSince = null
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PieceSources.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PieceSources.kt
@@ -16,7 +16,7 @@
 import lagoonrudder.model.Step
 import lagoonrudder.model.WeightNumber
 import lagoonrudder.model.digestOf
-import lagoonrudder.platform.OriginCalls
+import lagoonrudder.platform.OriginClient
 
 class PieceSources(
     private val core: DirectCore,
@@ -30,7 +30,7 @@
         first(sources, "manifest ${model.text}") { source ->
             when (source) {
                 is PieceSource.Entry -> peers.manifest(source.address, model, number)
-                is PieceSource.Origin -> OriginCalls(core.http, source.address).manifest(model, number)
+                is PieceSource.Origin -> OriginClient(core.http, source.address).manifest(model, number)
             }
         }
 
@@ -44,7 +44,7 @@
                 when (source) {
                     is PieceSource.Entry -> peers.piece(source.address, manifest.model, manifest.number, index)
                     is PieceSource.Origin ->
-                        OriginCalls(core.http, source.address).piece(manifest.model, manifest.number, index)
+                        OriginClient(core.http, source.address).piece(manifest.model, manifest.number, index)
                 }
             drawn.flatMap { bytes ->
                 val sound = digestOf(bytes) == manifest.digests[index]
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StoreLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StoreLoop.kt
@@ -15,7 +15,7 @@
 import lagoonrudder.control.direct.PublicationChange
 import lagoonrudder.model.Failure
 import lagoonrudder.platform.StoreClient
-import lagoonrudder.platform.StoreWatch
+import lagoonrudder.platform.StoreWatchResult
 import lagoonrudder.platform.readItem
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -82,11 +82,11 @@
         val after = core.thread.decide { core.publication.at }
         return store.watch(after, wait).map { watched ->
             when (watched) {
-                is StoreWatch.Changes -> {
+                is StoreWatchResult.Changes -> {
                     val items = watched.answer.items.map { readItem(it) }
                     take { core.publication.take(items, watched.answer.at, core.clock.elapsed()) }
                 }
-                StoreWatch.HistoryLost -> {
+                StoreWatchResult.HistoryLost -> {
                     core.log.warning("store-history-lost", "after" to after)
                     readAll = true
                 }
@@ -105,7 +105,7 @@
             lostSince = now
             core.log.failure("store-lost", failure)
         }
-        core.http.forget(core.settings.store)
+        core.http.closeIdle(core.settings.store)
         failures++
         delay((FIRST_PAUSE * failures).coerceAtMost(LONGEST_PAUSE))
     }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/settings/DaemonSettings.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/settings/DaemonSettings.kt
@@ -81,7 +81,7 @@
         val unknown = sections.keys.firstOrNull { it !in SECTIONS }
         if (unknown != null) raise(missing(file, unknown, "expected one of the sections ${SECTIONS.joinToString(", ")}"))
         val daemon = sections["daemon"] ?: raise(missing(file, "daemon", "expected this section, found none"))
-        val role = with(daemon) { choice("role", DaemonRole.entries) }
+        val role = with(daemon) { enumValue("role", DaemonRole.entries) }
         val settings =
             DaemonSettings(
                 name = with(daemon) { DaemonId(text("name")) },
@@ -93,7 +93,7 @@
                 slot = if (role == DaemonRole.TARGET) readSlot(require(sections, file, "slot")) else null,
                 limits = sections["limits"]?.let { readLimits(it) } ?: DEFAULT_LIMITS,
             )
-        sections.values.forEach { with(it) { nothingElse() } }
+        sections.values.forEach { with(it) { rejectUnknownKeys() } }
         settings
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
@@ -88,7 +88,7 @@
             control.publish()
         }
         core.service.drained.await()
-        rpcServer?.leave()
+        rpcServer?.beginShutdown()
         delay(LAST_ANSWERS)
         core.log.info("stopped")
         close()
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/Demo.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/Demo.kt
@@ -15,7 +15,7 @@
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.ObjectChanges
 import lagoonrudder.model.ObjectSet
-import lagoonrudder.model.Service
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.SystemClock
 import lagoonrudder.model.VersionId
 import java.util.concurrent.ConcurrentHashMap
@@ -145,7 +145,7 @@
         val domain = DomainId(names.domains.last())
         say("taking failure domain ${domain.text} out of service")
         val published = clock.elapsed()
-        site.publish(withService(objects, domain, Service.OUT))
+        site.publish(withService(objects, domain, AdminState.OUT))
         delay(OUT_LIMIT)
         val begunAtLimit = begunIn(domain)
         delay(OUT_WATCH)
@@ -221,7 +221,7 @@
 fun withService(
     objects: ObjectSet,
     domain: DomainId,
-    service: Service,
+    service: AdminState,
 ): ObjectSet {
     val changed = objects.domains.getValue(domain).copy(service = service)
     return objects.plus(ObjectChanges(listOf(changed), emptyList()))
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ControlMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ControlMeasure.kt
@@ -34,12 +34,12 @@
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedChanges
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.SnapshotDelta
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.objectSet
 import lagoonrudder.wire.documents.writeChanges
-import lagoonrudder.wire.documents.writeWhole
+import lagoonrudder.wire.documents.writeSet
 import kotlin.random.Random
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -124,7 +124,7 @@
     val objects = setOf(targets)
     val routing = RoutingController("entry-1", DomainId("d0"), LoadBalancingPolicy.FreshRoom(), Random(1))
     val before = usedMemory()
-    controller.offer(CheckedSet.ofFullSet(SealedSet(Revision(1), objects), controller.current, peer).getOrElse { error(it.describe()) })
+    controller.offer(CheckedSet.ofFullSet(ObjectSnapshot(Revision(1), objects), controller.current, peer).getOrElse { error(it.describe()) })
     var off = Duration.ZERO
     var on = Duration.ZERO
     var bytes = 0
@@ -149,22 +149,22 @@
         add("put-in-force-on-thread", on)
         add("spread-on-thread", tree)
         add("change-bytes", bytes)
-        add("whole-bytes", writeWhole(controller.current).length)
+        add("whole-bytes", writeSet(controller.current).length)
         add("state-megabytes", (usedMemory() - before) / 1e6)
     }
 }
 
 private fun change(
-    set: SealedSet,
+    set: ObjectSnapshot,
     number: Int,
-): SealedChanges {
+): SnapshotDelta {
     val target =
         set.objects.targets.values
             .elementAt(number * 31 % set.objects.targets.size)
     val changed: OperatorObject = target.copy(requests = target.requests + 1)
     val changes = ObjectChanges(listOf(changed), emptyList())
     val next = set.objects.plus(changes)
-    return SealedChanges(set.revision, set.digest, Revision(set.revision.number + 1), next.digest, changes)
+    return SnapshotDelta(set.revision, set.digest, Revision(set.revision.number + 1), next.digest, changes)
 }
 
 private fun usedMemory(): Long {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
@@ -55,7 +55,7 @@
 import lagoonrudder.model.RegionId
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.Violation
@@ -274,7 +274,7 @@
 
     private fun configureAll(hears: (String) -> Boolean = { true }) {
         generation++
-        val set = SealedSet(revision, objects)
+        val set = ObjectSnapshot(revision, objects)
         val instances = instances()
         for (target in targets.values) {
             if (!hears(target.id.text)) continue
@@ -292,7 +292,7 @@
 
     private fun offer(
         configuration: ConfigurationController,
-        set: SealedSet,
+        set: ObjectSnapshot,
     ) {
         CheckedSet.ofFullSet(set, configuration.current, PEER).fold({ error(it.describe()) }, { configuration.offer(it) })
         configuration.confirm()
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/Messages.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/Messages.kt
@@ -16,7 +16,7 @@
 import lagoonrudder.model.FleetId
 import lagoonrudder.model.Instance
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
 import lagoonrudder.model.VersionId
@@ -41,7 +41,7 @@
 
 /** The proof that a request which may run at most once may run now. */
 data class RunPermit(
-    val key: RepeatKey,
+    val key: IdempotencyKey,
     val number: Long,
 )
 
@@ -98,14 +98,14 @@
 data class ReserveRequest(
     val request: RequestId,
     val fleet: FleetId,
-    val key: RepeatKey,
+    val key: IdempotencyKey,
     val body: Digest,
     val revision: Revision,
 )
 
 /** The new owner of a key asks an earlier one to give it up. */
 data class SurrenderRequest(
-    val key: RepeatKey,
+    val key: IdempotencyKey,
     val revision: Revision,
 )
 
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AdmitFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AdmitFilter.kt
@@ -17,7 +17,7 @@
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.Peer
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.traffic.Filter
@@ -48,7 +48,7 @@
 
     private suspend fun ownerFor(
         identity: Identity,
-        key: RepeatKey,
+        key: IdempotencyKey,
     ): TargetId? {
         val set = control.thread.decide { control.configuration.current }
         return ownerOf(key, keyOwners(set.objects, identity.fleet))
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryCall.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryCall.kt
@@ -8,7 +8,7 @@
 import lagoonrudder.control.RoutingRequest
 import lagoonrudder.model.Failure
 import lagoonrudder.model.OperatorObject
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
 import lagoonrudder.model.VersionId
@@ -20,7 +20,7 @@
     val method: String,
     val path: String,
     val token: String,
-    val key: RepeatKey?,
+    val key: IdempotencyKey?,
     val contentType: String,
     val body: ByteArray,
 )
@@ -54,7 +54,7 @@
     val customer: OperatorObject.Customer,
     val revision: Revision,
     val work: Work,
-    val key: RepeatKey?,
+    val key: IdempotencyKey?,
     val deadline: Duration,
     val tokens: Long,
     val bytes: Long,
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdentifyFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdentifyFilter.kt
@@ -17,7 +17,7 @@
 import lagoonrudder.model.Peer
 import lagoonrudder.model.Refusal
 import lagoonrudder.model.RequestId
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Step
 import lagoonrudder.traffic.Filter
 import lagoonrudder.traffic.Next
@@ -49,7 +49,7 @@
         )
     }
 
-    private fun openSet(): Either<Refusal, SealedSet> {
+    private fun openSet(): Either<Refusal, ObjectSnapshot> {
         val set = control.configuration.current
         val now = clock.elapsed()
         val confirmed = control.configuration.mayServe(now) && !control.service.wasPaused(now)
@@ -61,7 +61,7 @@
 
     private fun identify(
         call: EntryCall,
-        set: SealedSet,
+        set: ObjectSnapshot,
     ): Either<Refusal, Identity> =
         either {
             val route = set.objects.routeFor(call.caller.path) ?: raise(Refusal.UnknownRoute)
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/SendFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/SendFilter.kt
@@ -31,7 +31,7 @@
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.digestOf
@@ -231,7 +231,7 @@
     private suspend fun afterReservation(
         instance: Instance,
         decision: IdempotencyDecision,
-        key: RepeatKey,
+        key: IdempotencyKey,
     ): AttemptResult {
         val peer = peerOf(instance)
         return when (decision) {
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/Mapping.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/Mapping.kt
@@ -22,7 +22,7 @@
 import lagoonrudder.model.IncarnationId
 import lagoonrudder.model.Instance
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
 import lagoonrudder.model.TargetId
@@ -73,7 +73,7 @@
         timeLeft = timeLeftMilliseconds.milliseconds,
         tokens = tokens.takeIf { it > 0 } ?: malformed("tokens $tokens"),
         priority = priority,
-        permit = permit?.let { RunPermit(RepeatKey(it.key), it.number) },
+        permit = permit?.let { RunPermit(IdempotencyKey(it.key), it.number) },
         work = workOf(this),
     )
 
@@ -96,16 +96,16 @@
     }
 
 fun EventMessage.toEvent(): RunEvent {
-    notRun?.let { return RunEvent.NotRun(it.toRefusal(), it.load?.toRoom()) }
+    notRun?.let { return RunEvent.NotRun(it.toRefusal(), it.load?.toTargetLoad()) }
     head?.let { return RunEvent.Head(RequestId(it.request), it.attempt, versionOrNull(it.version), it.status, it.contentType) }
     bytes?.let { return RunEvent.Bytes(it.offset, it.data, it.checksum) }
-    end?.let { return RunEvent.End(it.length, it.checksum, it.load?.toRoom()) }
+    end?.let { return RunEvent.End(it.length, it.checksum, it.load?.toTargetLoad()) }
     malformed("an event without content")
 }
 
-fun TargetLoad.toMessage() = RoomMessage(limit, inFlight, freeTokens)
+fun TargetLoad.toMessage() = TargetLoadMessage(limit, inFlight, freeTokens)
 
-fun RoomMessage.toRoom() = TargetLoad(limit, inFlight, freeTokens)
+fun TargetLoadMessage.toTargetLoad() = TargetLoad(limit, inFlight, freeTokens)
 
 fun Refusal.toMessage(load: TargetLoad? = null): RefusalMessage {
     val detail =
@@ -135,46 +135,46 @@
 
 fun ReserveRequest.toMessage() = ReserveMessage(request.text, fleet.text, key.text, body.hexadecimal, revision.number)
 
-fun ReserveMessage.toRequest() = ReserveRequest(RequestId(request), FleetId(fleet), RepeatKey(key), Digest(body), Revision(revision))
+fun ReserveMessage.toRequest() = ReserveRequest(RequestId(request), FleetId(fleet), IdempotencyKey(key), Digest(body), Revision(revision))
 
 fun IdempotencyDecision.toMessage(): ReserveReply =
     when (this) {
         is IdempotencyDecision.Permitted -> ReserveReply(permit = permit)
         is IdempotencyDecision.Uncertain -> ReserveReply(uncertain = detail)
         is IdempotencyDecision.Refused -> ReserveReply(refused = refusal.toMessage())
-        is IdempotencyDecision.AlreadyRan -> ReserveReply(ranBefore = recorded(response))
+        is IdempotencyDecision.AlreadyRan -> ReserveReply(alreadyRan = recorded(response))
         is IdempotencyDecision.QueryPreviousOwners -> ReserveReply(uncertain = "earlier owners were not asked")
     }
 
-private fun recorded(response: RecordedResponse?): RecordedMessage =
-    if (response == null) RecordedMessage() else RecordedMessage(true, response.status, response.contentType, response.body)
+private fun recorded(response: RecordedResponse?): RecordedResponseMessage =
+    if (response == null) RecordedResponseMessage() else RecordedResponseMessage(true, response.status, response.contentType, response.body)
 
 fun ReserveReply.toDecision(): IdempotencyDecision {
     permit?.let { return IdempotencyDecision.Permitted(it) }
     uncertain?.let { return IdempotencyDecision.Uncertain(it) }
     refused?.let { return IdempotencyDecision.Refused(it.toRefusal()) }
-    val recorded = ranBefore ?: malformed("a reservation without content")
-    return IdempotencyDecision.AlreadyRan(recorded.toAnswer())
+    val recorded = alreadyRan ?: malformed("a reservation without content")
+    return IdempotencyDecision.AlreadyRan(recorded.toResponse())
 }
 
-private fun RecordedMessage.toAnswer(): RecordedResponse? = if (held) RecordedResponse(status, contentType, body) else null
+private fun RecordedResponseMessage.toResponse(): RecordedResponse? = if (held) RecordedResponse(status, contentType, body) else null
 
 fun SurrenderRequest.toMessage() = SurrenderMessage(key.text, revision.number)
 
-fun SurrenderMessage.toRequest() = SurrenderRequest(RepeatKey(key), Revision(revision))
+fun SurrenderMessage.toRequest() = SurrenderRequest(IdempotencyKey(key), Revision(revision))
 
 fun SurrenderResult.toMessage(): SurrenderReply =
     when (this) {
-        SurrenderResult.Released -> SurrenderReply(unseen = true)
-        is SurrenderResult.AlreadyRan -> SurrenderReply(ranBefore = recorded(response))
+        SurrenderResult.Released -> SurrenderReply(released = true)
+        is SurrenderResult.AlreadyRan -> SurrenderReply(alreadyRan = recorded(response))
         is SurrenderResult.Uncertain -> SurrenderReply(uncertain = detail)
     }
 
 fun SurrenderReply.toSurrender(): SurrenderResult {
-    if (unseen) return SurrenderResult.Released
+    if (released) return SurrenderResult.Released
     uncertain?.let { return SurrenderResult.Uncertain(it) }
-    val recorded = ranBefore ?: malformed("a surrender without content")
-    return SurrenderResult.AlreadyRan(recorded.toAnswer())
+    val recorded = alreadyRan ?: malformed("a surrender without content")
+    return SurrenderResult.AlreadyRan(recorded.toResponse())
 }
 
 fun TargetReport.toMessage() =
@@ -190,7 +190,7 @@
     TargetReport(
         TargetId(target),
         IncarnationId(incarnation),
-        load.toRoom(),
+        load.toTargetLoad(),
         versionOrNull(version),
         accepting,
     )
--- a/wire/src/test/kotlin/lagoonrudder/wire/MessagesTest.kt
+++ b/wire/src/test/kotlin/lagoonrudder/wire/MessagesTest.kt
@@ -9,7 +9,7 @@
 import lagoonrudder.model.CustomerId
 import lagoonrudder.model.FleetId
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
 import lagoonrudder.model.VersionId
@@ -40,7 +40,7 @@
         timeLeft = 800.milliseconds,
         tokens = 120,
         priority = 3,
-        permit = RunPermit(RepeatKey("k"), 7),
+        permit = RunPermit(IdempotencyKey("k"), 7),
         work = Work.Generate("Describe our perry.", 64),
     )
 
