--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/Mapping.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/Mapping.kt
@@ -6,10 +6,10 @@
 package lagoonrudder.wire.messages
 
 import lagoonrudder.control.InstanceChanges
-import lagoonrudder.control.RecordedAnswer
-import lagoonrudder.control.RepeatDecision
-import lagoonrudder.control.Room
-import lagoonrudder.control.Surrender
+import lagoonrudder.control.RecordedResponse
+import lagoonrudder.control.IdempotencyDecision
+import lagoonrudder.control.TargetLoad
+import lagoonrudder.control.SurrenderResult
 import lagoonrudder.control.SwitchReport
 import lagoonrudder.control.SwitchStatus
 import lagoonrudder.control.TargetReport
@@ -89,25 +89,25 @@
 
 fun RunEvent.toMessage(): EventMessage =
     when (this) {
-        is RunEvent.NotRun -> EventMessage(notRun = refusal.toMessage(room))
+        is RunEvent.NotRun -> EventMessage(notRun = refusal.toMessage(load))
         is RunEvent.Head -> EventMessage(head = HeadMessage(request.text, attempt, version?.text.orEmpty(), status, contentType))
         is RunEvent.Bytes -> EventMessage(bytes = BytesMessage(offset, data, checksum))
-        is RunEvent.End -> EventMessage(end = EndMessage(length, checksum, room?.toMessage()))
+        is RunEvent.End -> EventMessage(end = EndMessage(length, checksum, load?.toMessage()))
     }
 
 fun EventMessage.toEvent(): RunEvent {
-    notRun?.let { return RunEvent.NotRun(it.toRefusal(), it.room?.toTargetLoad()) }
+    notRun?.let { return RunEvent.NotRun(it.toRefusal(), it.load?.toTargetLoad()) }
     head?.let { return RunEvent.Head(RequestId(it.request), it.attempt, versionOrNull(it.version), it.status, it.contentType) }
     bytes?.let { return RunEvent.Bytes(it.offset, it.data, it.checksum) }
-    end?.let { return RunEvent.End(it.length, it.checksum, it.room?.toTargetLoad()) }
+    end?.let { return RunEvent.End(it.length, it.checksum, it.load?.toTargetLoad()) }
     malformed("event message has no field set")
 }
 
-fun Room.toMessage() = TargetLoadMessage(limit, inFlight, freeTokens)
+fun TargetLoad.toMessage() = TargetLoadMessage(limit, inFlight, freeTokens)
 
-fun TargetLoadMessage.toTargetLoad() = Room(limit, inFlight, freeTokens)
+fun TargetLoadMessage.toTargetLoad() = TargetLoad(limit, inFlight, freeTokens)
 
-fun Refusal.toMessage(room: Room? = null): RefusalMessage {
+fun Refusal.toMessage(load: TargetLoad? = null): RefusalMessage {
     val detail =
         when (this) {
             is Refusal.Invalid -> expected
@@ -115,7 +115,7 @@
             Refusal.UnknownRoute, Refusal.UnknownCustomer -> ""
             is Refusal.Overloaded, is Refusal.TooLate, is Refusal.NoTarget, is Refusal.WrongVersion -> ""
         }
-    return RefusalMessage(code, retryAfter?.inWholeMilliseconds ?: 0, detail, room?.toMessage())
+    return RefusalMessage(code, retryAfter?.inWholeMilliseconds ?: 0, detail, load?.toMessage())
 }
 
 fun RefusalMessage.toRefusal(): Refusal {
@@ -137,51 +137,51 @@
 
 fun ReserveMessage.toRequest() = ReserveRequest(RequestId(request), FleetId(fleet), IdempotencyKey(key), Digest(body), Revision(revision))
 
-fun RepeatDecision.toMessage(): ReserveReply =
+fun IdempotencyDecision.toMessage(): ReserveReply =
     when (this) {
-        is RepeatDecision.Permitted -> ReserveReply(permit = permit)
-        is RepeatDecision.Uncertain -> ReserveReply(uncertain = detail)
-        is RepeatDecision.Refused -> ReserveReply(refused = refusal.toMessage())
-        is RepeatDecision.RanBefore -> ReserveReply(alreadyRan = recorded(answer))
-        is RepeatDecision.AskOwners -> ReserveReply(uncertain = "previous owners of the key were not checked")
+        is IdempotencyDecision.Permitted -> ReserveReply(permit = permit)
+        is IdempotencyDecision.Uncertain -> ReserveReply(uncertain = detail)
+        is IdempotencyDecision.Refused -> ReserveReply(refused = refusal.toMessage())
+        is IdempotencyDecision.AlreadyRan -> ReserveReply(alreadyRan = recorded(response))
+        is IdempotencyDecision.QueryPreviousOwners -> ReserveReply(uncertain = "previous owners of the key were not checked")
     }
 
-private fun recorded(answer: RecordedAnswer?): RecordedResponseMessage =
-    if (answer == null) RecordedResponseMessage() else RecordedResponseMessage(true, answer.status, answer.contentType, answer.body)
+private fun recorded(response: RecordedResponse?): RecordedResponseMessage =
+    if (response == null) RecordedResponseMessage() else RecordedResponseMessage(true, response.status, response.contentType, response.body)
 
-fun ReserveReply.toDecision(): RepeatDecision {
-    permit?.let { return RepeatDecision.Permitted(it) }
-    uncertain?.let { return RepeatDecision.Uncertain(it) }
-    refused?.let { return RepeatDecision.Refused(it.toRefusal()) }
+fun ReserveReply.toDecision(): IdempotencyDecision {
+    permit?.let { return IdempotencyDecision.Permitted(it) }
+    uncertain?.let { return IdempotencyDecision.Uncertain(it) }
+    refused?.let { return IdempotencyDecision.Refused(it.toRefusal()) }
     val recorded = alreadyRan ?: malformed("reserve reply has no field set")
-    return RepeatDecision.RanBefore(recorded.toResponse())
+    return IdempotencyDecision.AlreadyRan(recorded.toResponse())
 }
 
-private fun RecordedResponseMessage.toResponse(): RecordedAnswer? = if (held) RecordedAnswer(status, contentType, body) else null
+private fun RecordedResponseMessage.toResponse(): RecordedResponse? = if (held) RecordedResponse(status, contentType, body) else null
 
 fun SurrenderRequest.toMessage() = SurrenderMessage(key.text, revision.number)
 
 fun SurrenderMessage.toRequest() = SurrenderRequest(IdempotencyKey(key), Revision(revision))
 
-fun Surrender.toMessage(): SurrenderReply =
+fun SurrenderResult.toMessage(): SurrenderReply =
     when (this) {
-        Surrender.Unseen -> SurrenderReply(released = true)
-        is Surrender.RanBefore -> SurrenderReply(alreadyRan = recorded(answer))
-        is Surrender.Uncertain -> SurrenderReply(uncertain = detail)
+        SurrenderResult.Released -> SurrenderReply(released = true)
+        is SurrenderResult.AlreadyRan -> SurrenderReply(alreadyRan = recorded(response))
+        is SurrenderResult.Uncertain -> SurrenderReply(uncertain = detail)
     }
 
-fun SurrenderReply.toSurrender(): Surrender {
-    if (released) return Surrender.Unseen
-    uncertain?.let { return Surrender.Uncertain(it) }
+fun SurrenderReply.toSurrender(): SurrenderResult {
+    if (released) return SurrenderResult.Released
+    uncertain?.let { return SurrenderResult.Uncertain(it) }
     val recorded = alreadyRan ?: malformed("surrender reply has no field set")
-    return Surrender.RanBefore(recorded.toResponse())
+    return SurrenderResult.AlreadyRan(recorded.toResponse())
 }
 
 fun TargetReport.toMessage() =
     ReportMessage(
         target.text,
         incarnation.text,
-        room.toMessage(),
+        load.toMessage(),
         version?.text.orEmpty(),
         accepting,
     )
@@ -190,7 +190,7 @@
     TargetReport(
         TargetId(target),
         IncarnationId(incarnation),
-        room.toTargetLoad(),
+        load.toTargetLoad(),
         versionOrNull(version),
         accepting,
     )
--- a/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcClient.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcClient.kt
@@ -21,8 +21,8 @@
 import kotlinx.coroutines.flow.catch
 import kotlinx.coroutines.flow.map
 import lagoonrudder.control.InstanceChanges
-import lagoonrudder.control.RepeatDecision
-import lagoonrudder.control.Surrender
+import lagoonrudder.control.IdempotencyDecision
+import lagoonrudder.control.SurrenderResult
 import lagoonrudder.control.SwitchReport
 import lagoonrudder.control.TargetReport
 import lagoonrudder.model.Address
@@ -79,7 +79,7 @@
         target: Instance,
         request: ReserveRequest,
         limit: Duration,
-    ): Either<Failure, RepeatDecision> =
+    ): Either<Failure, IdempotencyDecision> =
         call(Methods.reserve, target.address, ChannelPurpose.REQUESTS, request.toMessage(), limit, Step.GUARD_REPEATS, PeerRole.TARGET) {
             it.toDecision()
         }
@@ -113,7 +113,7 @@
         target: Instance,
         request: SurrenderRequest,
         limit: Duration,
-    ): Either<Failure, Surrender> =
+    ): Either<Failure, SurrenderResult> =
         call(Methods.surrender, target.address, ChannelPurpose.REQUESTS, request.toMessage(), limit, Step.GUARD_REPEATS, PeerRole.TARGET) {
             it.toSurrender()
         }
