--- a/daemon/src/main/kotlin/lagoonrudder/daemon/DaemonCore.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/DaemonCore.kt
@@ -36,7 +36,7 @@
     val log = EventLog(settings.name.text)
     val invariants =
         Invariants { violation ->
-            log.violated(violation)
+            log.invariantViolated(violation)
             options.onViolation(violation)
         }
     val thread = ControlThread.start(settings.name.text, clock, invariants)
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/backend/HttpBackEnd.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/backend/HttpBackEnd.kt
@@ -39,7 +39,7 @@
 import lagoonrudder.control.EngineState
 import lagoonrudder.control.OrderResult
 import lagoonrudder.control.RecordedAnswer
-import lagoonrudder.daemon.platform.guarded
+import lagoonrudder.daemon.platform.callWithTimeout
 import lagoonrudder.daemon.platform.read
 import lagoonrudder.daemon.platform.transportFailure
 import lagoonrudder.model.Address
@@ -77,7 +77,7 @@
         request: RequestId,
         limit: Duration,
     ): Either<Failure, RecordedAnswer> =
-        guarded(Step.RUN, peer, limit) {
+        callWithTimeout(Step.RUN, peer, limit) {
             val call =
                 client.prepareRequest {
                     method = HttpMethod.parse(work.method)
@@ -98,7 +98,7 @@
         limit: Duration,
     ): OrderResult {
         val answer =
-            guarded(Step.ORDER_ENGINE, peer, limit) {
+            callWithTimeout(Step.ORDER_ENGINE, peer, limit) {
                 val call = client.preparePost("$root/orders") { json(engineJson.encodeToString(OrderJson.serializer(), jsonOf(order))) }
                 call.execute { response -> orderResult(response).right() }
             }
@@ -111,7 +111,7 @@
         bytes: ByteArray,
         limit: Duration,
     ): Either<Failure, Unit> =
-        guarded(Step.DRAW_CHUNK, peer, limit) {
+        callWithTimeout(Step.DRAW_CHUNK, peer, limit) {
             val call = client.preparePut("$root/weights/${version.text}/${chunk.number}") { setBody(bytes) }
             call.execute { response -> if (response.status == HttpStatusCode.OK) Unit.right() else declined(response).left() }
         }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationSyncLoop.kt
@@ -44,10 +44,10 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** [changed] runs on the control thread whenever a set came into force or the list of instances changed. */
-class ConfigurationLoop(
+/** [onChange] runs on the control thread whenever a set came into force or the list of instances changed. */
+class ConfigurationSyncLoop(
     private val core: DaemonCore,
-    private val changed: () -> Unit,
+    private val onChange: () -> Unit,
 ) {
     private val domain = core.settings.domain
     private var headGeneration = 0L
@@ -78,14 +78,14 @@
         val revision =
             core.thread.decide {
                 core.configuration.confirm()
-                changed()
+                onChange()
                 core.configuration.current.revision
             }
         core.log.info("configuration-confirmed", "revision" to revision.number)
     }
 
     /** A peer passed a set on. */
-    suspend fun take(message: OfferMessage): OfferReply {
+    suspend fun applyOffer(message: OfferMessage): OfferReply {
         val peer = Peer(PeerRole.ENTRY, message.sender)
         if (message.whole) {
             offerWholeText(message.text, peer)
@@ -97,7 +97,7 @@
     }
 
     /** A peer says what it has and is told what is newer here. */
-    suspend fun answer(message: ExchangeMessage): ExchangeReply {
+    suspend fun replyTo(message: ExchangeMessage): ExchangeReply {
         val revision = Revision(message.revision)
         val digest = Digest(message.digest)
         val known = core.thread.decide { known(revision, digest, message.listGeneration) }
@@ -196,7 +196,7 @@
         instances: List<Instance>,
         generation: Long,
     ) {
-        core.thread.decide { if (core.membership.replaceList(instances, generation)) changed() }
+        core.thread.decide { if (core.membership.replaceList(instances, generation)) onChange() }
     }
 
     /** Takes a head from the platform; false when it must be read again. */
@@ -256,7 +256,7 @@
         val outcome =
             core.thread.decide {
                 val outcome = core.configuration.offer(checked)
-                if (outcome is ConfigurationOutcome.Accepted) changed()
+                if (outcome is ConfigurationOutcome.Accepted) onChange()
                 outcome
             }
         when (outcome) {
@@ -381,11 +381,11 @@
         address: Address,
         own: SealedSet,
     ) {
-        reply.instances?.let { changes -> core.thread.decide { if (core.membership.apply(changes)) changed() } }
+        reply.instances?.let { changes -> core.thread.decide { if (core.membership.apply(changes)) onChange() } }
         val offer = reply.offer
         if (offer != null) {
-            val wholeNeeded = take(offer).wholeNeeded
-            if (wholeNeeded) core.rpc.exchange(address, ExchangeMessage(), OFFER_LIMIT).onRight { whole -> whole.offer?.let { take(it) } }
+            val wholeNeeded = applyOffer(offer).wholeNeeded
+            if (wholeNeeded) core.rpc.exchange(address, ExchangeMessage(), OFFER_LIMIT).onRight { whole -> whole.offer?.let { applyOffer(it) } }
             return
         }
         val peerBehind = isNewer(own, reply.revision, reply.digest)
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectCore.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectCore.kt
@@ -29,7 +29,7 @@
     val clock: Clock,
 ) : AutoCloseable {
     val log = EventLog(settings.name.text)
-    val invariants = Invariants { log.violated(it) }
+    val invariants = Invariants { log.invariantViolated(it) }
     val thread = ControlThread.start(settings.name.text, clock, invariants)
     val metrics = DaemonMetrics(thread, invariants)
     val loop = HttpLoop("traffic")
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntry.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntryDaemon.kt
@@ -26,10 +26,10 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-class DirectEntry(
+class DirectEntryDaemon(
     core: DirectCore,
 ) : DirectDaemon(core),
-    DirectView {
+    DirectDiagnostics {
     private val settings = core.settings
     private val random = Random(System.nanoTime())
     private val placement =
@@ -44,11 +44,11 @@
     private val control =
         DirectControl(core.thread, core.clock, core.publication, core.peers, placement, RepeatShare(settings.bounds.repeats))
     private val client = PeerClient(core.http)
-    private val store = StoreLoop(core, needed = { true }, changed = ::published)
-    private val peers = PeerLoop(core, client, loads = placement::inFlight, changed = ::published)
-    private val pieces = PieceCache(core, PieceSources(core, client))
-    private val pauses = PauseWatch(core.clock)
-    private var prepared = emptyList<DeclaredWeights>()
+    private val store = StoreSyncLoop(core, isNeeded = { true }, onChange = ::published)
+    private val peers = GossipLoop(core, client, loads = placement::inFlight, onChange = ::published)
+    private val pieces = ChunkCache(core, WeightFetcher(core, client))
+    private val pauses = PauseDetector(core.clock)
+    private var prefetchedVersions = emptyList<DeclaredWeights>()
     private var callers: HttpServer? = null
 
     @Volatile
@@ -92,8 +92,8 @@
         limits = core.publication.serving?.limits ?: DEFAULT_LIMITS
         control.published()
         val newest = core.publication.newest
-        (newest - prepared.toSet()).forEach { core.scope.launch { pieces.prepare(it) } }
-        prepared = newest
+        (newest - prefetchedVersions.toSet()).forEach { core.scope.launch { pieces.prefetch(it) } }
+        prefetchedVersions = newest
     }
 
     private suspend fun ready() = !leaving && core.thread.decide { core.publication.confirmed }
@@ -107,7 +107,7 @@
             if (pause != null) {
                 core.log.warning("paused", "for" to pause)
                 core.http.forget(settings.store)
-                store.hurry()
+                store.retryNow()
             }
         }
     }
@@ -130,8 +130,8 @@
     ) {
         val identity = call.identityOrNull
         val took = core.clock.elapsed() - call.receivedAt
-        if (outcome == null) core.metrics.callerLeft(took) else core.metrics.requestEnded(outcome, took)
-        call.firstEventAfter?.let { core.metrics.firstEvent(it) }
+        if (outcome == null) core.metrics.recordCallerDisconnect(took) else core.metrics.recordRequest(outcome, took)
+        call.firstEventAfter?.let { core.metrics.recordFirstEvent(it) }
         core.log.info(
             "request-ended",
             "request" to call.request.request.text,
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/GossipLoop.kt
@@ -28,12 +28,12 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** [loads] is what this process has in flight; [changed] runs on the control thread when a peer brought something new. */
-class PeerLoop(
+/** [loads] is what this process has in flight; [onChange] runs on the control thread when a peer brought something new. */
+class GossipLoop(
     private val core: DirectCore,
     private val client: PeerClient,
     private val loads: () -> Map<TargetId, Int>,
-    private val changed: () -> Unit,
+    private val onChange: () -> Unit,
 ) {
     private val exchanges = mutableMapOf<Address, Job>()
     private var behindSince: Duration? = null
@@ -45,7 +45,7 @@
     var slot: SlotWord? = null
 
     /** Whether any peer has answered lately. */
-    fun heardLately(): Boolean = answeredAt?.let { core.clock.elapsed() - it < HEARD_LATELY } ?: false
+    fun hasRecentReply(): Boolean = answeredAt?.let { core.clock.elapsed() - it < RECENT_REPLY_WINDOW } ?: false
 
     suspend fun run() {
         when (core.self.role) {
@@ -111,7 +111,7 @@
         wantsPeers: Boolean,
     ): Boolean {
         val message = core.thread.decide { word(wantsPeers) }
-        return when (val reply = client.word(address, message)) {
+        return when (val reply = client.gossip(address, message)) {
             is Either.Left -> false
             is Either.Right -> {
                 answeredAt = core.clock.elapsed()
@@ -146,7 +146,7 @@
                 val brings = items.isNotEmpty() || (!core.publication.confirmed && core.publication.serving != null && !behind)
                 if (!brings) return@decide null
                 behindSince = null
-                core.publication.takeSettled(items, reply.at, now).also { changed() }
+                core.publication.takeSettled(items, reply.at, now).also { onChange() }
             }
         if (change != null) core.logChange(change, "peer:$address", reply.at)
     }
@@ -164,7 +164,7 @@
 
         /** The store's own watch brings a change within this time when it is sound. */
         val LAG_ALLOWED = 200.milliseconds
-        val HEARD_LATELY = 2.seconds
+        val RECENT_REPLY_WINDOW = 2.seconds
         const val PEERS_EVERY = 4
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerClient.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerClient.kt
@@ -31,7 +31,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** The calls that a daemon answers to its peers. */
-object PeerCalls {
+object PeerPaths {
     const val WORD = "/peer/word"
     const val MANIFEST = "/peer/manifest"
     const val PIECE = "/peer/piece"
@@ -40,11 +40,11 @@
 class PeerClient(
     private val http: HttpClient,
 ) {
-    suspend fun word(
+    suspend fun gossip(
         address: Address,
         message: WordMessage,
     ): Either<Failure, WordReply> {
-        val request = HttpRequest("POST", PeerCalls.WORD, emptyList(), encodeMessage(WordMessage.serializer(), message))
+        val request = HttpRequest("POST", PeerPaths.WORD, emptyList(), encodeMessage(WordMessage.serializer(), message))
         return call(address, request, WORD_LIMIT).flatMap { decoded(address, WordReply.serializer(), it) }
     }
 
@@ -53,7 +53,7 @@
         model: ModelId,
         number: WeightNumber?,
     ): Either<Failure, WeightManifest> {
-        val request = HttpRequest("GET", "${PeerCalls.MANIFEST}/${model.text}/${number?.number ?: 0}", emptyList())
+        val request = HttpRequest("GET", "${PeerPaths.MANIFEST}/${model.text}/${number?.number ?: 0}", emptyList())
         return call(address, request, PIECE_LIMIT).flatMap { decoded(address, ManifestMessage.serializer(), it) }.map { it.toManifest() }
     }
 
@@ -65,7 +65,7 @@
     ): Either<Failure, ByteArray> =
         call(
             address,
-            HttpRequest("GET", "${PeerCalls.PIECE}/${model.text}/${number.number}/$index", emptyList()),
+            HttpRequest("GET", "${PeerPaths.PIECE}/${model.text}/${number.number}/$index", emptyList()),
             PIECE_LIMIT,
         ).map { it.body }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerEndpoint.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerEndpoint.kt
@@ -25,7 +25,7 @@
 
 class PeerEndpoint(
     private val core: DirectCore,
-    private val pieces: PieceCache,
+    private val pieces: ChunkCache,
     private val loads: () -> Map<TargetId, Int>,
     private val slotChanged: () -> Unit,
 ) : HttpHandler {
@@ -36,9 +36,9 @@
                 .drop(1)
         val call = "/" + parts.take(2).joinToString("/")
         when {
-            call == PeerCalls.WORD -> word(exchange)
-            call == PeerCalls.MANIFEST && parts.size == MANIFEST_PARTS -> manifest(exchange, parts)
-            call == PeerCalls.PIECE && parts.size == PIECE_PARTS -> piece(exchange, parts)
+            call == PeerPaths.WORD -> word(exchange)
+            call == PeerPaths.MANIFEST && parts.size == MANIFEST_PARTS -> manifest(exchange, parts)
+            call == PeerPaths.PIECE && parts.size == PIECE_PARTS -> piece(exchange, parts)
             else -> exchange.respond(NOT_FOUND, emptyList(), NO_BYTES)
         }
     }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StagingLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StagingLoop.kt
@@ -30,9 +30,9 @@
 
 class StagingLoop(
     private val core: DirectCore,
-    private val slot: DirectSlot,
-    private val peers: PeerLoop,
-    private val sources: PieceSources,
+    private val slot: DirectSlotSettings,
+    private val peers: GossipLoop,
+    private val sources: WeightFetcher,
 ) {
     private val backEnd = SlotCalls(core.http, slot.backEnd)
     private var manifest: WeightManifest? = null
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StoreLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StoreSyncLoop.kt
@@ -21,11 +21,11 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** [needed] tells whether the store is to be asked now; [changed] runs on the control thread after each answer. */
-class StoreLoop(
+/** [isNeeded] tells whether the store is to be asked now; [onChange] runs on the control thread after each answer. */
+class StoreSyncLoop(
     private val core: DirectCore,
-    private val needed: suspend () -> Boolean,
-    private val changed: () -> Unit,
+    private val isNeeded: suspend () -> Boolean,
+    private val onChange: () -> Unit,
 ) {
     private val store = StoreClient(core.http, core.settings.store)
     private var waiting: Job? = null
@@ -37,14 +37,14 @@
     private var failures = 0
 
     /** Asks the store at once instead of going on waiting, for example after a pause. */
-    fun hurry() {
+    fun retryNow() {
         hurried = true
         waiting?.cancel()
     }
 
     suspend fun run() {
         while (currentCoroutineContext().isActive) {
-            if (!needed()) {
+            if (!isNeeded()) {
                 delay(NOT_NEEDED_PAUSE)
                 continue
             }
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Asks once and takes the answer over; null when the wait was cut short by [hurry]. */
+    /** Asks once and takes the answer over; null when the wait was cut short by [retryNow]. */
     private suspend fun ask(): Either<Failure, Unit>? =
         coroutineScope {
             val wait = if (hurried || lostSince != null) Duration.ZERO else WATCH_WAIT
@@ -95,7 +95,7 @@
     }
 
     private suspend fun take(action: () -> PublicationChange) {
-        val (change, at) = core.thread.decide { action().also { changed() } to core.publication.at }
+        val (change, at) = core.thread.decide { action().also { onChange() } to core.publication.at }
         core.logChange(change, "store", at)
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PieceSources.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/WeightFetcher.kt
@@ -18,7 +18,7 @@
 import lagoonrudder.model.digestOf
 import lagoonrudder.platform.OriginCalls
 
-class PieceSources(
+class WeightFetcher(
     private val core: DirectCore,
     private val peers: PeerClient,
 ) {
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/entry/EntryDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/entry/EntryDaemon.kt
@@ -15,11 +15,11 @@
 import lagoonrudder.daemon.Daemon
 import lagoonrudder.daemon.DaemonAddresses
 import lagoonrudder.daemon.DaemonCore
-import lagoonrudder.daemon.PeerEnd
-import lagoonrudder.daemon.configuration.ConfigurationLoop
-import lagoonrudder.daemon.front.CallerFront
+import lagoonrudder.daemon.PeerRpcHandler
+import lagoonrudder.daemon.configuration.ConfigurationSyncLoop
+import lagoonrudder.daemon.front.CallerServer
 import lagoonrudder.daemon.front.CompletionDecoder
-import lagoonrudder.daemon.operators.DaemonView
+import lagoonrudder.daemon.operators.DaemonDiagnostics
 import lagoonrudder.daemon.operators.OperatorServer
 import lagoonrudder.model.Address
 import lagoonrudder.model.Outcome
@@ -42,7 +42,7 @@
 class EntryDaemon(
     override val core: DaemonCore,
 ) : Daemon,
-    DaemonView {
+    DaemonDiagnostics {
     private val settings = core.settings
     private val uploads = UploadController(settings.limits.uploadBytes)
     private val control =
@@ -57,14 +57,14 @@
             readers = ReaderMemoryController(core.options.readers ?: settings.limits.readers, core.invariants),
             service = core.service,
         )
-    private val reports = ReportLoop(core, control)
-    private val configuration = ConfigurationLoop(core) { configured() }
-    private val front = CallerFront(core, FilterChain(filters()), uploads, checkNotNull(settings.listen.callers))
+    private val reports = TargetReportLoop(core, control)
+    private val configuration = ConfigurationSyncLoop(core) { onConfigurationChanged() }
+    private val front = CallerServer(core, FilterChain(filters()), uploads, checkNotNull(settings.listen.callers))
     private val operators = OperatorServer(core, this)
     private var rpcServer: RpcServer? = null
 
     override suspend fun start(): DaemonAddresses {
-        val rpc = RpcServer.start(settings.listen.rpc, core.scope.coroutineContext, PeerEnd(configuration), null)
+        val rpc = RpcServer.start(settings.listen.rpc, core.scope.coroutineContext, PeerRpcHandler(configuration), null)
         rpcServer = rpc
         val addresses = DaemonAddresses(Address(settings.listen.rpc.host, rpc.port), front.start(), operators.start())
         configuration.start()
@@ -105,9 +105,9 @@
 
     private fun mayServe(): Boolean = core.configuration.mayServe(core.clock.elapsed())
 
-    private fun configured() {
+    private fun onConfigurationChanged() {
         control.configured()
-        reports.match()
+        reports.updateSubscriptions()
     }
 
     private suspend fun tick() {
@@ -141,7 +141,7 @@
         outcome: Outcome,
         took: Duration,
     ) {
-        core.metrics.requestEnded(outcome, took)
+        core.metrics.recordRequest(outcome, took)
         val request = call.identityOrNull()
         core.log.info(
             "request-ended",
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/entry/ReportLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/entry/TargetReportLoop.kt
@@ -24,7 +24,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class ReportLoop(
+class TargetReportLoop(
     private val core: DaemonCore,
     private val control: EntryControl,
 ) {
@@ -36,7 +36,7 @@
     private val streams = mutableMapOf<TargetId, Stream>()
 
     /** Opens and closes streams so that they match the subset; runs on the control thread. */
-    fun match() {
+    fun updateSubscriptions() {
         val daemons = control.membership.targetDaemons()
         val wanted =
             control.routing
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/front/CallerFront.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/front/CallerServer.kt
@@ -49,7 +49,7 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-class CallerFront(
+class CallerServer(
     private val core: DaemonCore,
     private val chain: FilterChain<EntryCall>,
     private val uploads: UploadController,
@@ -95,7 +95,7 @@
         call: ApplicationCall,
         request: CallerRequest,
     ) = coroutineScope {
-        val sink = HttpAnswerSink()
+        val sink = HttpResponseSink()
         val running = async { chain.run(EntryCall(request, sink, core.clock.elapsed())) }
         val start =
             select {
@@ -108,7 +108,7 @@
         call.respondBytesWriter(type, HttpStatusCode.fromValue(start.status)) {
             sink.attach(this)
             val outcome = running.await()
-            if (outcome is Outcome.Broken) throw BrokenAnswer(outcome.failure)
+            if (outcome is Outcome.Broken) throw ResponseBrokenException(outcome.failure)
         }
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/observe/DaemonMetrics.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/observe/DaemonMetrics.kt
@@ -34,7 +34,7 @@
         }
     }
 
-    fun requestEnded(
+    fun recordRequest(
         outcome: Outcome,
         took: Duration,
     ) {
@@ -42,9 +42,9 @@
     }
 
     /** The caller left before there was an outcome. */
-    fun callerLeft(took: Duration) = requestTimer("caller-left").record(took.toJavaDuration())
+    fun recordCallerDisconnect(took: Duration) = requestTimer("caller-left").record(took.toJavaDuration())
 
-    fun firstEvent(after: Duration) =
+    fun recordFirstEvent(after: Duration) =
         Timer
             .builder("lagoonrudder.first.event")
             .serviceLevelObjectives(*LATENCY_BUCKETS)
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/settings/DaemonSettings.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/settings/DaemonSettings.kt
@@ -63,7 +63,7 @@
     val limits: LimitSettings,
 )
 
-val DEFAULT_LIMITS =
+val DEFAULT_LIMIT_SETTINGS =
     LimitSettings(
         queue = QueueBounds(),
         readers = ReaderMemoryPolicy.Windowed(),
@@ -91,7 +91,7 @@
                 platform = readPlatform(require(sections, file, "platform")),
                 seeds = sections["peers"]?.let { with(it) { addresses("seeds") } }.orEmpty(),
                 slot = if (role == DaemonRole.TARGET) readSlot(require(sections, file, "slot")) else null,
-                limits = sections["limits"]?.let { readLimits(it) } ?: DEFAULT_LIMITS,
+                limits = sections["limits"]?.let { readLimits(it) } ?: DEFAULT_LIMIT_SETTINGS,
             )
         sections.values.forEach { with(it) { nothingElse() } }
         settings
@@ -141,12 +141,12 @@
     LimitSettings(
         queue = readQueue(section),
         readers = readReaders(section),
-        weights = WeightBounds(memory = positive(section, "weight-memory-bytes", DEFAULT_LIMITS.weights.memory)),
-        uploadBytes = positive(section, "upload-bytes", DEFAULT_LIMITS.uploadBytes),
+        weights = WeightBounds(memory = positive(section, "weight-memory-bytes", DEFAULT_LIMIT_SETTINGS.weights.memory)),
+        uploadBytes = positive(section, "upload-bytes", DEFAULT_LIMIT_SETTINGS.uploadBytes),
     )
 
 private fun Raise<Failure.Malformed>.readQueue(section: IniSection): QueueBounds {
-    val default = DEFAULT_LIMITS.queue
+    val default = DEFAULT_LIMIT_SETTINGS.queue
     val requests = positive(section, "queue-requests", default.requests.toLong())
     return QueueBounds(requests.coerceAtMost(Int.MAX_VALUE.toLong()).toInt(), positive(section, "queue-bytes", default.bytes))
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
@@ -15,10 +15,10 @@
 import lagoonrudder.daemon.Daemon
 import lagoonrudder.daemon.DaemonAddresses
 import lagoonrudder.daemon.DaemonCore
-import lagoonrudder.daemon.PeerEnd
+import lagoonrudder.daemon.PeerRpcHandler
 import lagoonrudder.daemon.backend.HttpBackEnd
-import lagoonrudder.daemon.configuration.ConfigurationLoop
-import lagoonrudder.daemon.operators.DaemonView
+import lagoonrudder.daemon.configuration.ConfigurationSyncLoop
+import lagoonrudder.daemon.operators.DaemonDiagnostics
 import lagoonrudder.daemon.operators.OperatorServer
 import lagoonrudder.daemon.platform.WeightOrigin
 import lagoonrudder.model.Address
@@ -34,7 +34,7 @@
 class TargetDaemon(
     override val core: DaemonCore,
 ) : Daemon,
-    DaemonView {
+    DaemonDiagnostics {
     private val settings = core.settings
     private val slot = checkNotNull(settings.slot)
     private val backEnd = HttpBackEnd(core.http, slot.backEnd)
@@ -55,16 +55,16 @@
             weights = WeightController(self(), core.options.sources, settings.limits.weights, core.invariants),
             service = core.service,
         )
-    private val weights = WeightLoop(core, control, backEnd, origin) { switch.poke() }
-    private val switch: SwitchLoop = SwitchLoop(core, control, backEnd, weights)
-    private val configuration = ConfigurationLoop(core) { configured() }
+    private val weights = WeightDistributionLoop(core, control, backEnd, origin) { switch.wake() }
+    private val switch: VersionSwitchLoop = VersionSwitchLoop(core, control, backEnd, weights)
+    private val configuration = ConfigurationSyncLoop(core) { onConfigurationChanged() }
     private val chain = FilterChain(targetFilters(control, backEnd, core.clock, core.invariants, core.options.engine))
     private val operators = OperatorServer(core, this)
     private var rpcServer: RpcServer? = null
 
     override suspend fun start(): DaemonAddresses {
-        val end = TargetEnd(control, chain, Reservations(control, core.rpc, core.clock), core.clock)
-        val rpc = RpcServer.start(settings.listen.rpc, core.scope.coroutineContext, PeerEnd(configuration, weights), end)
+        val end = TargetRpcHandler(control, chain, Reservations(control, core.rpc, core.clock), core.clock)
+        val rpc = RpcServer.start(settings.listen.rpc, core.scope.coroutineContext, PeerRpcHandler(configuration, weights), end)
         rpcServer = rpc
         val addresses = DaemonAddresses(Address(settings.listen.rpc.host, rpc.port), null, operators.start())
         configuration.start()
@@ -115,10 +115,10 @@
     /** Until a set names the region of this daemon's failure domain, the domain stands for it. */
     private fun self() = Holder(settings.name, settings.domain, RegionId(settings.domain.text))
 
-    private fun configured() {
+    private fun onConfigurationChanged() {
         control.configured()
-        weights.configured()
-        switch.poke()
+        weights.onConfigurationChanged()
+        switch.wake()
     }
 
     private suspend fun tick() {
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetEnd.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetRpcHandler.kt
@@ -31,7 +31,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class TargetEnd(
+class TargetRpcHandler(
     private val control: TargetControl,
     private val chain: FilterChain<TargetCall>,
     private val reservations: Reservations,
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/SwitchLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/VersionSwitchLoop.kt
@@ -22,13 +22,13 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class SwitchLoop(
+class VersionSwitchLoop(
     private val core: DaemonCore,
     private val control: TargetControl,
     private val backEnd: BackEnd,
-    private val weights: WeightLoop,
+    private val weights: WeightDistributionLoop,
 ) {
-    private val wake = Channel<Unit>(Channel.CONFLATED)
+    private val wakeSignal = Channel<Unit>(Channel.CONFLATED)
     private var known: IncarnationId? = null
     private var lastStatus: SwitchStatus? = null
 
@@ -42,14 +42,14 @@
     }
 
     /** Something changed that may call for another step. */
-    fun poke() {
-        wake.trySend(Unit)
+    fun wake() {
+        wakeSignal.trySend(Unit)
     }
 
     private suspend fun step() {
         val step =
             core.thread.decide {
-                control.switch.next(weights.complete(), control.limits.inFlight(), core.clock.elapsed(), core.clock.now())
+                control.switch.next(weights.isComplete(), control.limits.inFlight(), core.clock.elapsed(), core.clock.now())
             }
         core.thread.decide { control.publish() }
         when (step) {
@@ -70,7 +70,7 @@
     }
 
     private suspend fun pause(limit: Duration) {
-        withTimeoutOrNull(limit.coerceAtLeast(DRAIN_INTERVAL)) { wake.receive() }
+        withTimeoutOrNull(limit.coerceAtLeast(DRAIN_INTERVAL)) { wakeSignal.receive() }
     }
 
     private suspend fun readEngine() {
@@ -93,12 +93,12 @@
         core.thread.decide {
             control.switch.read(state)
             control.limits.observe(state.incarnation)
-            if (restarted) weights.engineRestarted()
+            if (restarted) weights.onEngineRestarted()
             control.publish()
         }
         if (!restarted) return
         core.log.warning("engine-restarted", "incarnation" to state.incarnation.text)
-        core.scope.launch { weights.deliverHeld() }
+        core.scope.launch { weights.redeliverHeldChunks() }
     }
 
     private suspend fun askOthers(targets: List<TargetId>) {
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/WeightLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/WeightDistributionLoop.kt
@@ -38,14 +38,14 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class WeightLoop(
+class WeightDistributionLoop(
     private val core: DaemonCore,
     private val control: TargetControl,
     private val backEnd: BackEnd,
     private val origin: WeightOrigin,
-    private val progressed: () -> Unit,
+    private val onComplete: () -> Unit,
 ) : ChunkService {
-    private val wake = Channel<Unit>(Channel.CONFLATED)
+    private val wakeSignal = Channel<Unit>(Channel.CONFLATED)
     private val arrivals = MutableStateFlow(0L)
 
     /** The chunks that the engine has of the version being drawn; changed on the control thread only. */
@@ -58,22 +58,22 @@
     }
 
     /** The wanted version or the holders may have changed; runs on the control thread. */
-    fun configured() {
+    fun onConfigurationChanged() {
         control.weights.replan(control.holders())
-        wake.trySend(Unit)
+        wakeSignal.trySend(Unit)
     }
 
     /** Whether the engine has every chunk of the wanted version; runs on the control thread. */
-    fun complete(): Boolean {
+    fun isComplete(): Boolean {
         val wanted = control.wantedVersion() ?: return false
         return drawing == wanted && control.weights.progress()?.complete == true && delivered.size == wanted.chunkCount
     }
 
     /** The engine started anew and has nothing; runs on the control thread. */
-    fun engineRestarted() {
+    fun onEngineRestarted() {
         delivered.clear()
         control.weights.restart()
-        wake.trySend(Unit)
+        wakeSignal.trySend(Unit)
     }
 
     override suspend fun chunk(message: ChunkMessage): ChunkReply {
@@ -123,7 +123,7 @@
             drawing = null
             control.weights.drop()
         }
-        wake.receive()
+        wakeSignal.receive()
     }
 
     private suspend fun step(wanted: OperatorObject.Version) {
@@ -132,13 +132,13 @@
         when (val decision = core.thread.decide { control.weights.next(now) }) {
             is DrawDecision.Draw -> core.scope.launch { draw(decision, wanted) }
             is DrawDecision.Wait -> pause((decision.until - now).coerceIn(SHORTEST_PAUSE, LONGEST_PAUSE))
-            DrawDecision.Busy, DrawDecision.Complete -> wake.receive()
+            DrawDecision.Busy, DrawDecision.Complete -> wakeSignal.receive()
         }
     }
 
     /** Waits until something changes, for [limit] at most. */
     private suspend fun pause(limit: Duration) {
-        withTimeoutOrNull(limit) { wake.receive() }
+        withTimeoutOrNull(limit) { wakeSignal.receive() }
     }
 
     /** Gets the manifest of a newly wanted version; false while it can't be had. */
@@ -245,7 +245,7 @@
             ChunkDecision.Damaged -> damaged(version, decision)
             ChunkDecision.Discard -> Unit
         }
-        wake.trySend(Unit)
+        wakeSignal.trySend(Unit)
     }
 
     private suspend fun keep(
@@ -278,15 +278,15 @@
         val whole =
             core.thread.decide {
                 if (drawing == version) delivered += chunk
-                complete()
+                isComplete()
             }
         if (!whole) return
         core.log.info("weights-complete", "version" to version.id.text)
-        progressed()
+        onComplete()
     }
 
     /** Hands what is still held to an engine that started anew. */
-    suspend fun deliverHeld() {
+    suspend fun redeliverHeldChunks() {
         val version = core.thread.decide { drawing } ?: return
         val held = core.thread.decide { control.weights.heldChunks() }
         for ((chunk, bytes) in held) deliver(version, chunk, bytes)
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/Site.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/Site.kt
@@ -10,9 +10,9 @@
 import lagoonrudder.daemon.DaemonAddresses
 import lagoonrudder.daemon.DaemonOptions
 import lagoonrudder.daemon.daemon
-import lagoonrudder.daemon.operators.DaemonView
+import lagoonrudder.daemon.operators.DaemonDiagnostics
 import lagoonrudder.daemon.platform.httpClient
-import lagoonrudder.daemon.settings.DEFAULT_LIMITS
+import lagoonrudder.daemon.settings.DEFAULT_LIMIT_SETTINGS
 import lagoonrudder.daemon.settings.DaemonSettings
 import lagoonrudder.daemon.settings.ListenSettings
 import lagoonrudder.daemon.settings.PlatformSettings
@@ -139,7 +139,7 @@
     /** The status line of a daemon. */
     suspend fun statusOf(placed: Placed): String {
         val daemon = placed.daemon
-        val view = daemon as DaemonView
+        val view = daemon as DaemonDiagnostics
         return daemon.core.thread.decide { view.status() }
     }
 
@@ -176,7 +176,7 @@
             platform = PlatformSettings(platform.address, origin.address),
             seeds = daemons.values.take(SEEDS).map { it.addresses.rpc },
             slot = slot,
-            limits = DEFAULT_LIMITS,
+            limits = DEFAULT_LIMIT_SETTINGS,
         )
     }
 
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/DirectSite.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/DirectSite.kt
@@ -15,9 +15,9 @@
 import lagoonrudder.control.direct.RepeatBounds
 import lagoonrudder.daemon.direct.DirectBounds
 import lagoonrudder.daemon.direct.DirectCore
-import lagoonrudder.daemon.direct.DirectListen
+import lagoonrudder.daemon.direct.DirectListenSettings
 import lagoonrudder.daemon.direct.DirectSettings
-import lagoonrudder.daemon.direct.DirectSlot
+import lagoonrudder.daemon.direct.DirectSlotSettings
 import lagoonrudder.daemon.direct.directDaemon
 import lagoonrudder.http.HttpClient
 import lagoonrudder.http.HttpHandler
@@ -58,14 +58,14 @@
     private val storeAddress = listen(store)
     private val originAddress = listen(origin)
     private val workerAddresses = this.workers.map { listen(it) }
-    private val entryListens = (1..entries).map { DirectListen(free(), free(), free()) }
+    private val entryListens = (1..entries).map { DirectListenSettings(free(), free(), free()) }
     private var requests = 0
 
     init {
         onLoop { publish(revision = 1) }
         entryListens.forEachIndexed { index, listen -> start(settings("entry-$index", DaemonRole.ENTRY, listen, null)) }
         workerAddresses.forEachIndexed { index, address ->
-            start(settings("target-$index", DaemonRole.TARGET, null, DirectSlot(SERVICE, address)))
+            start(settings("target-$index", DaemonRole.TARGET, null, DirectSlotSettings(SERVICE, address)))
         }
     }
 
@@ -165,8 +165,8 @@
     private fun settings(
         name: String,
         role: DaemonRole,
-        listen: DirectListen?,
-        slot: DirectSlot?,
+        listen: DirectListenSettings?,
+        slot: DirectSlotSettings?,
     ) = DirectSettings(
         name = DaemonId(name),
         role = role,
