--- a/daemon/src/main/kotlin/lagoonrudder/daemon/Daemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/Daemon.kt
@@ -1,5 +1,5 @@
 /**
- * A daemon of either role, as an object without static state, so that many can live in one process.
+ * A daemon of either role. It has no static state, so several can run in one process.
  */
 package lagoonrudder.daemon
 
@@ -10,7 +10,7 @@
 import lagoonrudder.model.Address
 import lagoonrudder.model.DaemonRole
 
-/** Where a started daemon listens; [callers] is null for target daemons. */
+/** Addresses on which a started daemon listens; [callers] is null for target daemons. */
 data class DaemonAddresses(
     val rpc: Address,
     val callers: Address?,
@@ -20,17 +20,17 @@
 interface Daemon : AutoCloseable {
     val core: DaemonCore
 
-    /** Starts to listen and to ask for the configuration; returns before the daemon is ready. */
+    /** Starts the servers and the reading of the configuration; returns before the daemon is ready. */
     suspend fun start(): DaemonAddresses
 
-    /** Takes no new work, waits until what is in hand has ended, and closes. */
+    /** Stops accepting requests, waits for those in flight to end, and closes. */
     suspend fun stop()
 
-    /** Ends at once, whatever is in hand. */
+    /** Closes at once, aborting requests in flight. */
     override fun close()
 }
 
-/** Builds a daemon from [settings]; [build] exchanges the clock or policies. */
+/** Creates a daemon from [settings]; [build] may replace the clock or policies. */
 fun daemon(
     settings: DaemonSettings,
     build: DaemonOptions.() -> Unit = {},
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/DaemonCore.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/DaemonCore.kt
@@ -1,6 +1,6 @@
 /**
- * What every daemon has, whatever its role: the control thread with the controllers of configuration and membership, the
- * connections to peers and to the platform, the log and the metrics.
+ * Resources that daemons of both roles share: the control thread with the controllers of configuration and membership, the
+ * clients of peers and of the platform, the log and the metrics.
  */
 package lagoonrudder.daemon
 
@@ -32,11 +32,11 @@
 ) : AutoCloseable {
     val clock: Clock = options.clock
     val random = Random(options.seed)
-    val incarnation = IncarnationId(random.nextLong().toULong().toString(HEXADECIMAL))
+    val incarnation = IncarnationId(random.nextLong().toULong().toString(HEXADECIMAL_RADIX))
     val log = EventLog(settings.name.text)
     val invariants =
         Invariants { violation ->
-            log.invariantViolated(violation)
+            log.invariantViolation(violation)
             options.onViolation(violation)
         }
     val thread = ControlThread.start(settings.name.text, clock, invariants)
@@ -60,6 +60,6 @@
     }
 
     private companion object {
-        const val HEXADECIMAL = 16
+        const val HEXADECIMAL_RADIX = 16
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/DaemonOptions.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/DaemonOptions.kt
@@ -1,5 +1,5 @@
 /**
- * What can be exchanged in a daemon without a setting: the clock, the policies, and what happens on a violation.
+ * Options of a daemon that code can set and settings cannot: the clock, the policies, and the handler of violations.
  */
 package lagoonrudder.daemon
 
@@ -33,12 +33,12 @@
     var send: SendLimits = SendLimits()
     var engine: EngineLimits = EngineLimits()
 
-    /** Takes the place of the reader memory in the settings when it is set. */
+    /** Overrides the policy in the settings when it is not null. */
     var readers: ReaderMemoryPolicy? = null
 
-    /** A client to share between daemons of one process; each has its own when this is null. */
+    /** A client to share between daemons of one process; each daemon creates its own when this is null. */
     var http: HttpClient? = null
 
-    /** Called for each violated invariant, after it was logged. */
+    /** Called for each violation of an invariant, after it was logged. */
     var onViolation: (Violation) -> Unit = {}
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/Main.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/Main.kt
@@ -1,5 +1,5 @@
 /**
- * The daemon program: lagoonrudderd --settings FILE.
+ * The daemon program, started with `lagoonrudderd --settings FILE`.
  */
 package lagoonrudder.daemon
 
@@ -14,7 +14,7 @@
 import java.util.concurrent.CountDownLatch
 import kotlin.system.exitProcess
 
-private const val EXIT_WRONG_INPUT = 2
+private const val EXIT_INVALID_SETTINGS = 2
 
 fun main(arguments: Array<String>) {
     val parser = ArgParser("lagoonrudderd")
@@ -22,25 +22,25 @@
     parser.parse(arguments)
     val settings = readSettings(readOrExit(file), file).getOrElse { exit(it.describe()) }
     val daemon = daemon(settings)
-    val ended = CountDownLatch(1)
+    val stopped = CountDownLatch(1)
     Runtime.getRuntime().addShutdownHook(
         Thread {
             runBlocking { daemon.stop() }
-            ended.countDown()
+            stopped.countDown()
         },
     )
     runBlocking { daemon.start() }
-    ended.await()
+    stopped.await()
 }
 
 private fun readOrExit(file: String): String =
     try {
         File(file).readText()
-    } catch (missing: IOException) {
-        exit("file $file: ${missing.message}")
+    } catch (unreadable: IOException) {
+        exit("file $file: ${unreadable.message}")
     }
 
 private fun exit(message: String): Nothing {
     System.err.println("lagoonrudderd: $message")
-    exitProcess(EXIT_WRONG_INPUT)
+    exitProcess(EXIT_INVALID_SETTINGS)
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/PeerRpcHandler.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/PeerRpcHandler.kt
@@ -1,5 +1,5 @@
 /**
- * What every daemon answers to its peers: configuration always, weights where it holds some.
+ * Handles the RPCs of peers: the configuration at every daemon, chunks of weights at those that hold some.
  */
 package lagoonrudder.daemon
 
@@ -13,7 +13,7 @@
 import lagoonrudder.wire.messages.OfferReply
 import lagoonrudder.wire.rpc.PeerService
 
-/** Answers requests for chunks of weights. */
+/** Serves chunks of weights to peers. */
 fun interface ChunkService {
     suspend fun chunk(message: ChunkMessage): ChunkReply
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/backend/EngineJson.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/backend/EngineJson.kt
@@ -1,5 +1,5 @@
 /**
- * The JSON that engines speak.
+ * JSON messages of the engine protocol.
  */
 package lagoonrudder.daemon.backend
 
@@ -22,7 +22,7 @@
     val priority: Int,
 )
 
-/** One line of an engine's answer; exactly one field is set. */
+/** One line of an engine's response; exactly one field is set. */
 @Serializable
 data class EngineLineJson(
     val start: StartJson? = null,
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/backend/HttpBackEnd.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/backend/HttpBackEnd.kt
@@ -1,5 +1,5 @@
 /**
- * The back end beside a target daemon, over HTTP: an engine or a plain service.
+ * HTTP client for the back end beside a target daemon, which is an engine or a plain HTTP service.
  */
 package lagoonrudder.daemon.backend
 
@@ -69,7 +69,7 @@
         channelFlow {
             val body = GenerateJson(request.request.text, request.work.prompt, request.work.maximumTokens, request.offset, request.priority)
             val call = client.preparePost("$root/generate") { json(engineJson.encodeToString(GenerateJson.serializer(), body)) }
-            call.execute { response -> sendAnswer(response) }
+            call.execute { response -> emitResponse(response) }
         }.buffer(Channel.RENDEZVOUS).catch { error -> emit(transportFailure(error, Step.RUN, peer).left()) }
 
     override suspend fun call(
@@ -82,27 +82,27 @@
                 client.prepareRequest {
                     method = HttpMethod.parse(work.method)
                     url("$root${work.path}")
-                    header(REQUEST_HEADER, request.text)
+                    header(REQUEST_ID_HEADER, request.text)
                     setBody(ByteArrayContent(work.body, contentTypeOrNull(work.contentType)))
                 }
-            call.execute { response -> plainAnswer(response) }
+            call.execute { response -> plainResponse(response) }
         }
 
     override suspend fun state(limit: Duration): Either<Failure, EngineState> =
-        client.read("$root/state", Step.ORDER_ENGINE, peer, limit).flatMap { answer ->
-            decode(answer.bytes.decodeToString()) { engineJson.decodeFromString(StateJson.serializer(), it) }.map(::stateOf)
+        client.read("$root/state", Step.ORDER_ENGINE, peer, limit).flatMap { response ->
+            decode(response.bytes.decodeToString()) { engineJson.decodeFromString(StateJson.serializer(), it) }.map(::stateOf)
         }
 
     override suspend fun order(
         order: EngineOrder,
         limit: Duration,
     ): OrderResult {
-        val answer =
+        val result =
             callWithTimeout(Step.ORDER_ENGINE, peer, limit) {
                 val call = client.preparePost("$root/orders") { json(engineJson.encodeToString(OrderJson.serializer(), jsonOf(order))) }
                 call.execute { response -> orderResult(response).right() }
             }
-        return answer.fold({ OrderResult.Unknown(it.detail) }, { it })
+        return result.fold({ OrderResult.Unknown(it.detail) }, { it })
     }
 
     override suspend fun putChunk(
@@ -116,7 +116,7 @@
             call.execute { response -> if (response.status == HttpStatusCode.OK) Unit.right() else declined(response).left() }
         }
 
-    private suspend fun ProducerScope<Either<Failure, EngineEvent>>.sendAnswer(response: HttpResponse) {
+    private suspend fun ProducerScope<Either<Failure, EngineEvent>>.emitResponse(response: HttpResponse) {
         if (response.status != HttpStatusCode.OK) {
             val notRun = response.status == HttpStatusCode.ServiceUnavailable
             send((if (notRun) declined(response) else Failure.Interrupted(Step.RUN, peer, "status ${response.status.value}")).left())
@@ -135,10 +135,10 @@
                 read.start?.let { EngineEvent.Started(IncarnationId(it.incarnation), VersionId(it.version)) }
                     ?: read.text?.let { EngineEvent.Text(it.offset, it.data.encodeToByteArray()) }
                     ?: read.end?.let { EngineEvent.Ended(VersionId(it.version), it.length, it.checksum) }
-            event?.right() ?: Failure.Damaged(Step.RUN, peer, "a line without content").left()
+            event?.right() ?: Failure.Damaged(Step.RUN, peer, "expected start, text or end in a response line, found none").left()
         }
 
-    private suspend fun plainAnswer(response: HttpResponse): Either<Failure, RecordedAnswer> {
+    private suspend fun plainResponse(response: HttpResponse): Either<Failure, RecordedAnswer> {
         val notRun = response.headers[NOT_RUN_HEADER] == "yes"
         if (notRun) return declined(response).left()
         val type = response.contentType()?.toString() ?: "application/octet-stream"
@@ -151,7 +151,7 @@
         when (response.status) {
             HttpStatusCode.OK -> OrderResult.Done
             HttpStatusCode.Conflict -> OrderResult.Fenced
-            HttpStatusCode.UnprocessableEntity -> OrderResult.Declined(response.bodyAsText().take(LONGEST_DETAIL))
+            HttpStatusCode.UnprocessableEntity -> OrderResult.Declined(response.bodyAsText().take(MAX_DETAIL_LENGTH))
             else -> OrderResult.Unknown("status ${response.status.value}")
         }
 
@@ -180,12 +180,12 @@
         try {
             read(text).right()
         } catch (malformed: SerializationException) {
-            Failure.Damaged(Step.RUN, peer, "malformed answer: ${malformed.message.orEmpty().take(LONGEST_DETAIL)}").left()
+            Failure.Damaged(Step.RUN, peer, "malformed response: ${malformed.message.orEmpty().take(MAX_DETAIL_LENGTH)}").left()
         }
 
     private fun HttpRequestBuilder.json(text: String) = setBody(TextContent(text, ContentType.Application.Json))
 
-    /** A type that can't be read is left out rather than failing a call that was not sent. */
+    /** Returns null for a malformed content type, so that the call is sent without one instead of failing. */
     private fun contentTypeOrNull(text: String): ContentType? =
         try {
             if (text.isBlank()) null else ContentType.parse(text)
@@ -194,8 +194,8 @@
         }
 
     private companion object {
-        const val REQUEST_HEADER = "Request-Id"
+        const val REQUEST_ID_HEADER = "Request-Id"
         const val NOT_RUN_HEADER = "Not-Run"
-        const val LONGEST_DETAIL = 200
+        const val MAX_DETAIL_LENGTH = 200
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationSyncLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationSyncLoop.kt
@@ -1,6 +1,6 @@
 /**
- * Keeps the configuration and the list of instances current: asks at the start, watches the platform where this daemon is
- * a watcher, passes new revisions on, and mends what was missed by exchanges with peers.
+ * Keeps the configuration and the list of instances up to date: reads them at start-up, watches the platform while this
+ * daemon is a watcher, forwards new revisions to peers, and catches up on missed updates by periodic exchanges with peers.
  */
 package lagoonrudder.daemon.configuration
 
@@ -44,7 +44,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** [onChange] runs on the control thread whenever a set came into force or the list of instances changed. */
+/** [onChange] runs on the control thread whenever a configuration became active or the list of instances changed. */
 class ConfigurationSyncLoop(
     private val core: DaemonCore,
     private val onChange: () -> Unit,
@@ -54,26 +54,29 @@
     private var listGeneration = 0L
     private var exchanges = 0
 
-    /** Failures of each watch since its last success; the pause between tries doubles with them. */
-    private val failuresInRow = ConcurrentHashMap<String, Int>()
+    /** Failures of each watch since its last success; the delay before the next try doubles with each. */
+    private val consecutiveFailures = ConcurrentHashMap<String, Int>()
 
-    /** Starts to confirm, watch and exchange; returns at once. */
+    /** Starts the confirmation, the watches and the exchanges with peers; returns at once. */
     fun start() {
         core.scope.launch {
-            confirm(START_LIMIT)
-            launch { watching(HEAD_FAILED) { watchHead() } }
-            launch { watching(LIST_FAILED) { watchList() } }
-            launch { exchangeAll() }
+            confirm(START_TIMEOUT)
+            launch { watchRepeatedly(HEAD_WATCH_FAILED) { watchHead() } }
+            launch { watchRepeatedly(LIST_WATCH_FAILED) { watchList() } }
+            launch { exchangePeriodically() }
         }
     }
 
-    /** Asks the platform and several peers for what is newer, waits up to [limit] for them, and lets new work in. */
-    suspend fun confirm(limit: Duration) {
+    /**
+     * Requests newer state from the platform and several peers, waits up to [timeout] for their replies, and marks the
+     * configuration as confirmed, so that new requests are accepted.
+     */
+    suspend fun confirm(timeout: Duration) {
         coroutineScope {
-            val asked =
-                listOf(launch { askPlatform(limit) }, launch { askInstances(limit) }) +
-                    confirmationPeers().map { launch { exchange(it, limit) } }
-            asked.joinAll()
+            val requests =
+                listOf(launch { readHeadFromPlatform(timeout) }, launch { readInstancesFromPlatform(timeout) }) +
+                    confirmationPeers().map { launch { exchange(it, timeout) } }
+            requests.joinAll()
         }
         val revision =
             core.thread.decide {
@@ -84,11 +87,11 @@
         core.log.info("configuration-confirmed", "revision" to revision.number)
     }
 
-    /** A peer passed a set on. */
+    /** Applies a configuration, or the changes of one, that a peer forwarded. */
     suspend fun applyOffer(message: OfferMessage): OfferReply {
         val peer = Peer(PeerRole.ENTRY, message.sender)
         if (message.whole) {
-            offerWholeText(message.text, peer)
+            offerFullText(message.text, peer)
             return OfferReply()
         }
         val head = readHead(message.text, peer).getOrElse { return reject(it) }
@@ -96,32 +99,32 @@
         return OfferReply(wholeNeeded = !offerChanges(changes, peer))
     }
 
-    /** A peer says what it has and is told what is newer here. */
+    /** Replies to a peer that reports its revision and list generation with whatever is newer at this daemon. */
     suspend fun replyTo(message: ExchangeMessage): ExchangeReply {
         val revision = Revision(message.revision)
         val digest = Digest(message.digest)
-        val known = core.thread.decide { known(revision, digest, message.listGeneration) }
-        val set = known.set
+        val local = core.thread.decide { localState(revision, digest, message.listGeneration) }
+        val set = local.set
         return ExchangeReply(
             revision = set.revision.number,
             digest = set.digest.hexadecimal,
-            offer = if (isNewer(set, revision, digest)) offerMessage(set, known.changes) else null,
-            instances = known.instances?.toMessage(),
+            offer = if (isNewer(set, revision, digest)) offerMessage(set, local.changes) else null,
+            instances = local.instances?.toMessage(),
         )
     }
 
-    /** What this process has and what a peer lacks of it. */
-    private data class Known(
+    /** The configuration of this process, and the changes of it and of the list of instances that a peer lacks. */
+    private data class LocalState(
         val set: SealedSet,
         val changes: SealedChanges?,
         val instances: InstanceChanges?,
     )
 
-    private fun known(
+    private fun localState(
         revision: Revision,
         digest: Digest,
         generation: Long,
-    ) = Known(
+    ) = LocalState(
         core.configuration.current,
         core.configuration.changesSince(revision, digest),
         core.membership.changesSince(generation),
@@ -141,66 +144,66 @@
         return if (changes == null) OfferMessage(sender, true, writeWhole(current)) else OfferMessage(sender, false, writeChanges(changes))
     }
 
-    /** Runs [watch] over and over while this daemon is a watcher, with pauses that grow while it fails. */
-    private suspend fun watching(
+    /** Runs [watch] repeatedly while this daemon is a watcher, with exponential back-off while it fails. */
+    private suspend fun watchRepeatedly(
         event: String,
         watch: suspend () -> Either<Failure, Unit>,
     ) {
         while (core.scope.isActive) {
             if (!isWatcher()) {
-                delay(WATCHER_INTERVAL)
+                delay(WATCHER_CHECK_INTERVAL)
                 continue
             }
-            watch().fold({ failed(event, it) }, { failuresInRow.remove(event) })
+            watch().fold({ onPlatformFailure(event, it) }, { consecutiveFailures.remove(event) })
         }
     }
 
-    /** A watch that brought nothing starts from the beginning, in case the platform counts anew. */
+    /** After a watch without a result, watches from generation 0, in case the platform has restarted its generations. */
     private suspend fun watchHead(): Either<Failure, Unit> =
-        core.platform.watchHead(headGeneration, WATCH_TIME).map { found ->
-            headGeneration = found?.let { if (takeHead(it.value)) it.generation else headGeneration } ?: 0
+        core.platform.watchHead(headGeneration, WATCH_TIMEOUT).map { head ->
+            headGeneration = head?.let { if (applyHead(it.value)) it.generation else headGeneration } ?: 0
         }
 
     private suspend fun watchList(): Either<Failure, Unit> =
-        core.platform.watchInstances(listGeneration, WATCH_TIME).map { found ->
-            found?.let { takeList(it.value, it.generation) }
-            listGeneration = found?.generation ?: 0
+        core.platform.watchInstances(listGeneration, WATCH_TIMEOUT).map { list ->
+            list?.let { applyList(it.value, it.generation) }
+            listGeneration = list?.generation ?: 0
         }
 
-    private suspend fun failed(
+    private suspend fun onPlatformFailure(
         event: String,
         failure: Failure,
     ) {
         core.metrics.count("platform.failures", event)
         core.log.failure(event, failure)
-        val times = failuresInRow.merge(event, 1, Int::plus) ?: 1
-        delay(FAILURE_PAUSE * (1 shl (times - 1).coerceAtMost(MOST_DOUBLINGS)))
+        val failures = consecutiveFailures.merge(event, 1, Int::plus) ?: 1
+        delay(INITIAL_RETRY_DELAY * (1 shl (failures - 1).coerceAtMost(MAX_DOUBLINGS)))
     }
 
     private suspend fun isWatcher(): Boolean =
         core.thread.decide { core.spread.watches(core.membership.live(domain, core.clock.elapsed())) }
 
-    private suspend fun askPlatform(limit: Duration) {
-        core.platform.head(limit).fold({ core.log.failure("configuration-read-failed", it) }) { value ->
-            if (value != null && takeHead(value.value)) headGeneration = value.generation
+    private suspend fun readHeadFromPlatform(timeout: Duration) {
+        core.platform.head(timeout).fold({ core.log.failure("configuration-read-failed", it) }) { value ->
+            if (value != null && applyHead(value.value)) headGeneration = value.generation
         }
     }
 
-    private suspend fun askInstances(limit: Duration) {
-        core.platform.watchInstances(0, limit).fold({ core.log.failure("instances-read-failed", it) }) { value ->
-            if (value != null) takeList(value.value, value.generation)
+    private suspend fun readInstancesFromPlatform(timeout: Duration) {
+        core.platform.watchInstances(0, timeout).fold({ core.log.failure("instances-read-failed", it) }) { value ->
+            if (value != null) applyList(value.value, value.generation)
         }
     }
 
-    private suspend fun takeList(
+    private suspend fun applyList(
         instances: List<Instance>,
         generation: Long,
     ) {
         core.thread.decide { if (core.membership.replaceList(instances, generation)) onChange() }
     }
 
-    /** Takes a head from the platform; false when it must be read again. */
-    private suspend fun takeHead(text: String): Boolean {
+    /** Applies a head that was read from the platform; returns false when it must be read again. */
+    private suspend fun applyHead(text: String): Boolean {
         val head = readHead(text, core.platform.peer).getOrElse { return true.also { _ -> reject(it) } }
         val changes = head.changes
         if (changes != null && offerChanges(changes, core.platform.peer)) return true
@@ -212,47 +215,47 @@
     private suspend fun readAndOffer(head: SealedHead): Boolean {
         val parts = mutableMapOf<Digest, String>()
         for (digest in head.parts) {
-            val part = core.platform.part(digest, PART_LIMIT)
-            parts[digest] = part.getOrElse { return false.also { _ -> failed("configuration-part-failed", it) } }
+            val part = core.platform.part(digest, PART_TIMEOUT)
+            parts[digest] = part.getOrElse { return false.also { _ -> onPlatformFailure("configuration-part-failed", it) } }
         }
-        readParts(head, parts, core.platform.peer).fold({ reject(it) }) { offerWhole(it, core.platform.peer) }
+        readParts(head, parts, core.platform.peer).fold({ reject(it) }) { offerFull(it, core.platform.peer) }
         return true
     }
 
-    private suspend fun offerWholeText(
+    private suspend fun offerFullText(
         text: String,
         peer: Peer,
     ) {
-        readWhole(text, peer).fold({ reject(it) }) { offerWhole(it, peer) }
+        readWhole(text, peer).fold({ reject(it) }) { offerFull(it, peer) }
     }
 
-    /** Offers changes; false when the whole set is needed. */
+    /** Offers changes to the controller; returns false when the full set is required. */
     private suspend fun offerChanges(
         changes: SealedChanges,
         peer: Peer,
     ): Boolean {
         val current = core.thread.decide { core.configuration.current }
-        val settled = changes.revision < current.revision || (changes.revision == current.revision && changes.digest == current.digest)
-        if (settled) return true
+        val superseded = changes.revision < current.revision || (changes.revision == current.revision && changes.digest == current.digest)
+        if (superseded) return true
         if (!startsFrom(changes, current)) return false
         val checked = CheckedSet.ofChanges(changes, current, peer).getOrElse { return true.also { _ -> reject(it) } }
-        return when (put(checked)) {
+        return when (activate(checked)) {
             ConfigurationOutcome.BaseMoved -> offerChanges(changes, peer)
             else -> true
         }
     }
 
-    private suspend fun offerWhole(
+    private suspend fun offerFull(
         offered: SealedSet,
         peer: Peer,
     ) {
         val current = core.thread.decide { core.configuration.current }
         if (offered.revision < current.revision) return
         val checked = CheckedSet.ofWhole(offered, current, peer).getOrElse { return reject(it).let { } }
-        if (put(checked) is ConfigurationOutcome.BaseMoved) offerWhole(offered, peer)
+        if (activate(checked) is ConfigurationOutcome.BaseMoved) offerFull(offered, peer)
     }
 
-    private suspend fun put(checked: CheckedSet): ConfigurationOutcome {
+    private suspend fun activate(checked: CheckedSet): ConfigurationOutcome {
         val outcome =
             core.thread.decide {
                 val outcome = core.configuration.offer(checked)
@@ -260,14 +263,14 @@
                 outcome
             }
         when (outcome) {
-            is ConfigurationOutcome.Accepted -> accepted(outcome, checked.peer)
-            is ConfigurationOutcome.Superseded -> if (outcome.twin) alarm(checked)
+            is ConfigurationOutcome.Accepted -> onAccepted(outcome, checked.peer)
+            is ConfigurationOutcome.Superseded -> if (outcome.twin) reportConflict(checked)
             ConfigurationOutcome.Known, ConfigurationOutcome.BaseMoved -> Unit
         }
         return outcome
     }
 
-    private fun accepted(
+    private fun onAccepted(
         outcome: ConfigurationOutcome.Accepted,
         peer: Peer,
     ) {
@@ -275,10 +278,10 @@
         core.metrics.count("configuration.accepted", "accepted")
         core.log.info("configuration-accepted", "revision" to revision.number, "digest" to outcome.set.digest.hexadecimal, "peer" to peer)
         if (outcome.replacedTwin) core.log.error("configuration-twins", "revision" to revision.number, "peer" to peer, "kept" to "offered")
-        core.scope.launch { passOn(outcome) }
+        core.scope.launch { forward(outcome) }
     }
 
-    private fun alarm(checked: CheckedSet) {
+    private fun reportConflict(checked: CheckedSet) {
         core.metrics.count("configuration.twins", "twins")
         core.log.error("configuration-twins", "revision" to checked.set.revision.number, "peer" to checked.peer, "kept" to "current")
     }
@@ -290,7 +293,7 @@
         return OfferReply()
     }
 
-    private suspend fun passOn(outcome: ConfigurationOutcome.Accepted) {
+    private suspend fun forward(outcome: ConfigurationOutcome.Accepted) {
         val children =
             core.thread.decide {
                 core.spread
@@ -299,50 +302,50 @@
             }
         if (children.isEmpty()) return
         val message = OfferMessage(core.settings.name.text, false, writeChanges(outcome.changes))
-        coroutineScope { children.forEach { child -> launch { pass(child, message, outcome.set) } } }
+        coroutineScope { children.forEach { child -> launch { forwardTo(child, message, outcome.set) } } }
     }
 
-    private suspend fun pass(
+    private suspend fun forwardTo(
         child: Instance,
         message: OfferMessage,
         set: SealedSet,
     ) {
-        val reply = core.rpc.offer(child.address, message, OFFER_LIMIT)
-        val wholeNeeded = reply.fold({ unheard(child.daemon, it) }, { it.wholeNeeded })
-        if (wholeNeeded) core.rpc.offer(child.address, OfferMessage(core.settings.name.text, true, writeWhole(set)), OFFER_LIMIT)
+        val reply = core.rpc.offer(child.address, message, OFFER_TIMEOUT)
+        val wholeNeeded = reply.fold({ onOfferFailed(child.daemon, it) }, { it.wholeNeeded })
+        if (wholeNeeded) core.rpc.offer(child.address, OfferMessage(core.settings.name.text, true, writeWhole(set)), OFFER_TIMEOUT)
     }
 
-    private suspend fun unheard(
+    private suspend fun onOfferFailed(
         daemon: DaemonId,
         failure: Failure,
     ): Boolean {
         core.thread.decide { core.membership.suspect(daemon, core.clock.elapsed()) }
-        core.log.failure("peer-unheard", failure, "daemon" to daemon.text)
+        core.log.failure("offer-failed", failure, "daemon" to daemon.text)
         return false
     }
 
-    private suspend fun exchangeAll() {
+    private suspend fun exchangePeriodically() {
         while (core.scope.isActive) {
             delay(EXCHANGE_INTERVAL)
             val peer = exchangePeer() ?: continue
-            exchange(peer, EXCHANGE_LIMIT)
+            exchange(peer, EXCHANGE_TIMEOUT)
         }
     }
 
-    /** Mostly a peer of this failure domain; now and then one of another, and a seed while nobody is known. */
+    /** Picks a peer of this failure domain, each [CROSS_DOMAIN_EVERY]th time one of another, or a seed if no peer is known. */
     private suspend fun exchangePeer(): Address? {
         exchanges++
-        val abroad = exchanges % ABROAD_EVERY == 0
-        val known = core.thread.decide { if (abroad) peerAbroad() else peerAtHome() }
+        val crossDomain = exchanges % CROSS_DOMAIN_EVERY == 0
+        val known = core.thread.decide { if (crossDomain) peerOfOtherDomain() else peerOfOwnDomain() }
         return known?.address ?: otherSeeds().randomOrNull(core.random)
     }
 
-    private fun peerAtHome(): Instance? {
+    private fun peerOfOwnDomain(): Instance? {
         val live = core.membership.live(domain, core.clock.elapsed())
         return core.spread.exchangePeer(live)?.let(core.membership::instance)
     }
 
-    private fun peerAbroad(): Instance? =
+    private fun peerOfOtherDomain(): Instance? =
         core.membership
             .instances()
             .filter { it.domain != domain && it.role == DaemonRole.ENTRY && !it.leaving }
@@ -358,25 +361,25 @@
                     .sortedBy { it.domain != domain }
                     .map { it.address }
             }
-        return (known + otherSeeds()).distinct().take(CONFIRMATION_PEERS)
+        return (known + otherSeeds()).distinct().take(MAX_CONFIRMATION_PEERS)
     }
 
     private fun otherSeeds(): List<Address> = core.settings.seeds.filter { it != core.settings.listen.rpc }
 
     private suspend fun exchange(
         address: Address,
-        limit: Duration,
+        timeout: Duration,
     ) {
-        val own = core.thread.decide { known(Revision.NONE, Digest(""), Long.MAX_VALUE) }
+        val own = core.thread.decide { localState(Revision.NONE, Digest(""), Long.MAX_VALUE) }
         val generation = core.thread.decide { core.membership.generation() }
         val message = ExchangeMessage(own.set.revision.number, own.set.digest.hexadecimal, generation)
-        core.rpc.exchange(address, message, limit).fold(
+        core.rpc.exchange(address, message, timeout).fold(
             { core.log.failure("exchange-failed", it) },
-            { takeReply(it, address, own.set) },
+            { applyReply(it, address, own.set) },
         )
     }
 
-    private suspend fun takeReply(
+    private suspend fun applyReply(
         reply: ExchangeAnswer,
         address: Address,
         own: SealedSet,
@@ -385,26 +388,30 @@
         val offer = reply.offer
         if (offer != null) {
             val wholeNeeded = applyOffer(offer).wholeNeeded
-            if (wholeNeeded) core.rpc.exchange(address, ExchangeMessage(), OFFER_LIMIT).onRight { whole -> whole.offer?.let { applyOffer(it) } }
+            if (wholeNeeded) {
+                core.rpc.exchange(address, ExchangeMessage(), OFFER_TIMEOUT).onRight { full ->
+                    full.offer?.let { applyOffer(it) }
+                }
+            }
             return
         }
         val peerBehind = isNewer(own, reply.revision, reply.digest)
-        if (peerBehind) core.rpc.offer(address, OfferMessage(core.settings.name.text, true, writeWhole(own)), OFFER_LIMIT)
+        if (peerBehind) core.rpc.offer(address, OfferMessage(core.settings.name.text, true, writeWhole(own)), OFFER_TIMEOUT)
     }
 
     private companion object {
-        val START_LIMIT = 2.seconds
-        val WATCH_TIME = 20.seconds
-        val WATCHER_INTERVAL = 1.seconds
-        val FAILURE_PAUSE = 500.milliseconds
-        val PART_LIMIT = 5.seconds
-        val OFFER_LIMIT = 2.seconds
+        val START_TIMEOUT = 2.seconds
+        val WATCH_TIMEOUT = 20.seconds
+        val WATCHER_CHECK_INTERVAL = 1.seconds
+        val INITIAL_RETRY_DELAY = 500.milliseconds
+        val PART_TIMEOUT = 5.seconds
+        val OFFER_TIMEOUT = 2.seconds
         val EXCHANGE_INTERVAL = 1.seconds
-        val EXCHANGE_LIMIT = 1.seconds
-        const val ABROAD_EVERY = 5
-        const val MOST_DOUBLINGS = 4
-        const val HEAD_FAILED = "configuration-watch-failed"
-        const val LIST_FAILED = "instances-watch-failed"
-        const val CONFIRMATION_PEERS = 5
+        val EXCHANGE_TIMEOUT = 1.seconds
+        const val CROSS_DOMAIN_EVERY = 5
+        const val MAX_DOUBLINGS = 4
+        const val HEAD_WATCH_FAILED = "configuration-watch-failed"
+        const val LIST_WATCH_FAILED = "instances-watch-failed"
+        const val MAX_CONFIRMATION_PEERS = 5
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/ChunkCache.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/ChunkCache.kt
@@ -1,8 +1,8 @@
 /**
- * Pieces of weights that an entry daemon keeps for the target daemons around it.
+ * Cache of chunks of weights at an entry daemon, which serves the target daemons of its region.
  *
- * A piece is drawn once, whoever asks for it and however many do; it is checked against its digest on arrival. The newest
- * versions of each model are kept. Everything runs on the traffic thread.
+ * Concurrent requests for a chunk share one fetch, and each chunk is verified against its digest when it arrives. The
+ * newest versions of each model are kept. Everything runs on the traffic thread.
  */
 package lagoonrudder.daemon.direct
 
@@ -24,9 +24,9 @@
 
 class ChunkCache(
     private val core: DirectCore,
-    private val sources: WeightFetcher,
+    private val fetcher: WeightFetcher,
 ) {
-    private data class PieceKey(
+    private data class ChunkKey(
         val model: ModelId,
         val number: WeightNumber,
         val index: Int,
@@ -37,89 +37,90 @@
         val number: WeightNumber?,
     )
 
-    private val pieces = mutableMapOf<PieceKey, Deferred<Either<Failure, ByteArray>>>()
+    private val chunks = mutableMapOf<ChunkKey, Deferred<Either<Failure, ByteArray>>>()
     private val manifests = mutableMapOf<ManifestKey, Deferred<Either<Failure, WeightManifest>>>()
-    private val drawnAhead = mutableSetOf<Pair<ModelId, WeightNumber>>()
-    private val draws = Semaphore(DRAWS_AT_ONCE)
+    private val prefetched = mutableSetOf<Pair<ModelId, WeightNumber>>()
+    private val fetchPermits = Semaphore(MAX_CONCURRENT_FETCHES)
 
     suspend fun manifest(
         model: ModelId,
         number: WeightNumber?,
     ): Either<Failure, WeightManifest> {
         val key = ManifestKey(model, number)
-        val drawing =
+        val fetching =
             manifests.getOrPut(key) {
-                core.scope.async { sources.manifest(above(model, number, MANIFEST), model, number) }
+                core.scope.async { fetcher.manifest(upstreamSources(model, number, MANIFEST_INDEX), model, number) }
             }
-        val drawn = drawing.await()
-        if (drawn is Either.Left || number == null) manifests.remove(key, drawing)
-        if (drawn is Either.Right) drawAhead(drawn.value)
-        return drawn
+        val fetched = fetching.await()
+        if (fetched is Either.Left || number == null) manifests.remove(key, fetching)
+        if (fetched is Either.Right) prefetchOwnChunks(fetched.value)
+        return fetched
     }
 
     /**
-     * Draws a version that was just declared, before anybody asks for it: an origin that fails soon after has then given
-     * part of it. Goes on until the manifest is there or a newer version is declared.
+     * Prefetches a version that was just declared, so that part of it is cached if the origin fails soon after. Retries
+     * until the manifest has been fetched or a newer version is declared.
      */
     suspend fun prefetch(declared: DeclaredWeights) {
         while (core.thread.decide { core.publication.declared(declared.model) } == declared) {
             if (manifest(declared.model, declared.number).isRight()) return
-            delay(PREPARE_PAUSE)
+            delay(PREFETCH_RETRY_DELAY)
         }
     }
 
-    /** Draws the pieces that this daemon leads before they are asked for; the first call for a version does so. */
-    private fun drawAhead(manifest: WeightManifest) {
+    /** Prefetches the chunks for which this daemon is the primary source; only the first call for a version has an effect. */
+    private fun prefetchOwnChunks(manifest: WeightManifest) {
         val version = manifest.model to manifest.number
-        if (!drawnAhead.add(version)) return
+        if (!prefetched.add(version)) return
         core.scope.launch {
-            val led =
+            val ownChunks =
                 core.thread.decide {
                     manifest.digests.indices.filter { core.staging.leads(manifest.model, manifest.number, it, core.clock.elapsed()) }
                 }
-            core.log.info("drawing-ahead", "number" to manifest.number.number, "pieces" to led.size)
-            led.forEach { index -> core.scope.launch { piece(manifest.model, manifest.number, index) } }
+            core.log.info("chunk-prefetch-started", "number" to manifest.number.number, "pieces" to ownChunks.size)
+            ownChunks.forEach { index -> core.scope.launch { chunk(manifest.model, manifest.number, index) } }
         }
     }
 
-    suspend fun piece(
+    suspend fun chunk(
         model: ModelId,
         number: WeightNumber,
         index: Int,
     ): Either<Failure, ByteArray> {
-        dropOld(model, number)
-        val key = PieceKey(model, number, index)
-        val drawing = pieces.getOrPut(key) { core.scope.async { draws.withPermit { draw(model, number, index) } } }
-        return drawing.await().also { if (it is Either.Left) pieces.remove(key, drawing) }
+        evictOldVersions(model, number)
+        val key = ChunkKey(model, number, index)
+        val fetching = chunks.getOrPut(key) { core.scope.async { fetchPermits.withPermit { fetch(model, number, index) } } }
+        return fetching.await().also { if (it is Either.Left) chunks.remove(key, fetching) }
     }
 
-    private suspend fun draw(
+    private suspend fun fetch(
         model: ModelId,
         number: WeightNumber,
         index: Int,
     ): Either<Failure, ByteArray> =
-        manifest(model, number).flatMap { manifest -> sources.piece(above(model, number, index), manifest, index) }
+        manifest(model, number).flatMap { manifest -> fetcher.chunk(upstreamSources(model, number, index), manifest, index) }
 
-    private suspend fun above(
+    private suspend fun upstreamSources(
         model: ModelId,
         number: WeightNumber?,
         index: Int,
     ): List<PieceSource> = core.thread.decide { core.staging.sourcesAbove(model, number, index, core.clock.elapsed()) }
 
-    /** Keeps the pieces of the two newest versions of a model. */
-    private fun dropOld(
+    /** Evicts all but the two newest versions of a model. */
+    private fun evictOldVersions(
         model: ModelId,
         newest: WeightNumber,
     ) {
-        val kept = (pieces.keys.filter { it.model == model }.map { it.number } + newest).distinct().sortedDescending().take(VERSIONS_KEPT)
-        pieces.keys.removeIf { it.model == model && it.number !in kept }
+        val retained =
+            (chunks.keys.filter { it.model == model }.map { it.number } + newest).distinct().sortedDescending().take(RETAINED_VERSIONS)
+        chunks.keys.removeIf { it.model == model && it.number !in retained }
     }
 
     private companion object {
-        /** The origin's link is full with a few draws at once. */
-        const val DRAWS_AT_ONCE = 4
-        const val VERSIONS_KEPT = 2
-        const val MANIFEST = -1
-        val PREPARE_PAUSE = 500.milliseconds
+        /** A few concurrent fetches saturate the link of the origin. */
+        const val MAX_CONCURRENT_FETCHES = 4
+        const val RETAINED_VERSIONS = 2
+        const val MANIFEST_INDEX = -1
+        val PREFETCH_RETRY_DELAY = 500.milliseconds
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectCore.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectCore.kt
@@ -1,6 +1,6 @@
 /**
- * What a daemon of either role has on the direct way: the control thread with its controllers, the loop that carries all
- * connections, the clients of the store and of peers, and the log.
+ * Resources that both roles of a direct-mode daemon share: the control thread with its controllers, the event loop that
+ * carries all connections, the HTTP client, the metrics and the log.
  */
 package lagoonrudder.daemon.direct
 
@@ -29,7 +29,7 @@
     val clock: Clock,
 ) : AutoCloseable {
     val log = EventLog(settings.name.text)
-    val invariants = Invariants { log.invariantViolated(it) }
+    val invariants = Invariants { log.invariantViolation(it) }
     val thread = ControlThread.start(settings.name.text, clock, invariants)
     val metrics = DaemonMetrics(thread, invariants)
     val loop = HttpLoop("traffic")
@@ -39,13 +39,13 @@
                 CoroutineExceptionHandler { _, error -> log.error("coroutine-failed", "error" to error.stackTraceToString()) },
         )
     val http = HttpClient(loop, clock)
-    val publication = PublicationController(invariants, settings.bounds.placement.versionLimit - UNKNOWN_AGE_LEFT)
+    val publication = PublicationController(invariants, settings.bounds.placement.versionLimit - UNKNOWN_AGE_ROLLOUT_TIME)
     val self = PeerDaemon(settings.name, settings.role, settings.domain, settings.region, settings.listen?.peers)
     val peers = PeerController(self, settings.seeds)
     val slots = SlotController()
     val staging = StagingController(peers, publication, SwitchTurns(publication), settings.regions)
 
-    /** Logs what changed in what this process believes. */
+    /** Logs a change of the published state, which came from [source] at store revision [at]. */
     fun logChange(
         change: PublicationChange,
         source: String,
@@ -96,7 +96,7 @@
         change.unusable.forEach { log.warning("item-unusable", "detail" to it, "source" to source, "at" to at) }
     }
 
-    /** The state that both roles have, for operators; runs on the control thread. */
+    /** Returns the dump sections that both roles have. Runs on the control thread. */
     fun dump(): List<DumpSection> = listOf(publication.dump(), peers.dump(clock.elapsed()), slots.dump(clock.elapsed()))
 
     fun gauges(): Map<String, Number> =
@@ -115,7 +115,7 @@
     }
 
     private companion object {
-        /** How much of its time to spread a version is given that was declared at an unknown time before the start. */
-        val UNKNOWN_AGE_LEFT = 2.seconds
+        /** Roll-out time that is left to a version that was declared at an unknown time before this process started. */
+        val UNKNOWN_AGE_ROLLOUT_TIME = 2.seconds
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectDaemon.kt
@@ -1,5 +1,5 @@
 /**
- * A daemon on the direct way, in one of its two roles.
+ * The two roles of a daemon in direct mode, in which entry daemons send requests straight to back ends.
  */
 package lagoonrudder.daemon.direct
 
@@ -11,15 +11,21 @@
 ) {
     abstract suspend fun start()
 
-    protected fun serveOperators(view: DirectDiagnostics) {
-        HttpServer.start(core.loop, core.scope, core.settings.operators, { HttpServer.PEER_LIMITS }, OperatorRequestHandler(core, view))
+    protected fun startOperatorServer(diagnostics: DirectDiagnostics) {
+        HttpServer.start(
+            core.loop,
+            core.scope,
+            core.settings.operators,
+            { HttpServer.PEER_LIMITS },
+            OperatorRequestHandler(core, diagnostics),
+        )
     }
 
-    /** Takes no new work, finishes what is in hand, and returns within the grace of the settings. */
+    /** Stops accepting requests, waits for those in flight, and returns within the grace period of the settings. */
     abstract suspend fun stop()
 }
 
-/** Builds the daemon that the settings of [core] describe. */
+/** Creates the daemon for the role in the settings of [core]. */
 fun directDaemon(core: DirectCore): DirectDaemon =
     when (core.settings.role) {
         DaemonRole.ENTRY -> DirectEntryDaemon(core)
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntryDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntryDaemon.kt
@@ -1,5 +1,5 @@
 /**
- * The daemon between callers and back ends.
+ * The entry daemon in direct mode, which accepts requests from callers and sends them to back ends.
  */
 package lagoonrudder.daemon.direct
 
@@ -44,66 +44,66 @@
     private val control =
         DirectControl(core.thread, core.clock, core.publication, core.peers, placement, RepeatShare(settings.bounds.repeats))
     private val client = PeerClient(core.http)
-    private val store = StoreSyncLoop(core, isNeeded = { true }, onChange = ::published)
-    private val peers = GossipLoop(core, client, loads = placement::inFlight, onChange = ::published)
-    private val pieces = ChunkCache(core, WeightFetcher(core, client))
-    private val pauses = PauseDetector(core.clock)
+    private val store = StoreSyncLoop(core, isNeeded = { true }, onChange = ::onPublicationChanged)
+    private val peers = GossipLoop(core, client, loads = placement::inFlight, onChange = ::onPublicationChanged)
+    private val chunks = ChunkCache(core, WeightFetcher(core, client))
+    private val pauseDetector = PauseDetector(core.clock)
     private var prefetchedVersions = emptyList<DeclaredWeights>()
     private var callers: HttpServer? = null
 
     @Volatile
-    private var leaving = false
+    private var isShuttingDown = false
 
-    /** The limits for callers, as the traffic thread reads them. */
+    /** Limits on requests from callers. Written on the control thread, read on the traffic thread. */
     @Volatile
     private var limits = DEFAULT_LIMITS
 
     override suspend fun start() {
         val listen = checkNotNull(settings.listen)
-        val chain = FilterChain(directFilters(control, BackEndEnd(core.http), random, ::ended))
-        val endpoint = PeerEndpoint(core, pieces, placement::inFlight, ::published)
+        val chain = FilterChain(directFilters(control, BackEndEnd(core.http), random, ::recordRequestEnd))
+        val endpoint = PeerEndpoint(core, chunks, placement::inFlight, ::onPublicationChanged)
         HttpServer.start(core.loop, core.scope, listen.peers, { HttpServer.PEER_LIMITS }, endpoint)
-        HttpServer.start(core.loop, core.scope, listen.ready, { HttpServer.PEER_LIMITS }, ReadyEnd { ready() })
+        HttpServer.start(core.loop, core.scope, listen.ready, { HttpServer.PEER_LIMITS }, ReadyEnd { isReady() })
         callers = HttpServer.start(core.loop, core.scope, listen.callers, { limits }, CallerEnd(chain, core.clock))
-        serveOperators(this)
+        startOperatorServer(this)
         core.scope.launch { store.run() }
         core.scope.launch { peers.run() }
-        core.scope.launch { tick() }
+        core.scope.launch { runTicks() }
         core.log.info("started", "role" to "entry", "callers" to listen.callers, "peers" to listen.peers, "store" to settings.store)
     }
 
     override suspend fun stop() {
         val started = core.clock.elapsed()
         val server = callers ?: return
-        leaving = true
+        isShuttingDown = true
         core.log.info("leaving", "in-hand" to server.inHand)
-        delay(BALANCER_NOTICES)
+        delay(LOAD_BALANCER_DRAIN_TIME)
         server.retire()
-        val last = started + settings.bounds.stopGrace - STOP_MARGIN
-        delay(RETIRE_NOTICE)
-        // A request that was read just before the process ends would get no answer.
+        val deadline = started + settings.bounds.stopGrace - SHUTDOWN_MARGIN
+        delay(CONNECTION_DRAIN_TIME)
+        // A request that is read just before the process exits would get no response.
         server.stopReading()
-        while (server.inHand > 0 && core.clock.elapsed() < last) delay(STOP_CHECK)
+        while (server.inHand > 0 && core.clock.elapsed() < deadline) delay(SHUTDOWN_CHECK_INTERVAL)
         core.log.info("stopped", "in-hand" to server.inHand, "took" to core.clock.elapsed() - started)
     }
 
-    /** Something that this process believes has changed; runs on the control thread. */
-    private fun published() {
+    /** Applies a change of the published state. Runs on the control thread. */
+    private fun onPublicationChanged() {
         limits = core.publication.serving?.limits ?: DEFAULT_LIMITS
         control.published()
         val newest = core.publication.newest
-        (newest - prefetchedVersions.toSet()).forEach { core.scope.launch { pieces.prefetch(it) } }
+        (newest - prefetchedVersions.toSet()).forEach { core.scope.launch { chunks.prefetch(it) } }
         prefetchedVersions = newest
     }
 
-    private suspend fun ready() = !leaving && core.thread.decide { core.publication.confirmed }
+    private suspend fun isReady() = !isShuttingDown && core.thread.decide { core.publication.confirmed }
 
-    private suspend fun tick() {
+    private suspend fun runTicks() {
         while (currentCoroutineContext().isActive) {
-            delay(TICK)
-            val pause = pauses.pause(TICK)
-            val gone = core.thread.decide { onTick(pause) }
-            gone.forEach { core.log.info("back-end-gone", "target" to it.text, "source" to "lapsed") }
+            delay(TICK_INTERVAL)
+            val pause = pauseDetector.check(TICK_INTERVAL)
+            val expired = core.thread.decide { onTick(pause) }
+            expired.forEach { core.log.info("back-end-gone", "target" to it.text, "source" to "lapsed") }
             if (pause != null) {
                 core.log.warning("paused", "for" to pause)
                 core.http.forget(settings.store)
@@ -124,7 +124,7 @@
 
     override fun gauges() = core.gauges() + mapOf("in_flight" to placement.inFlight().values.sum(), "waiting" to placement.waiting())
 
-    private fun ended(
+    private fun recordRequestEnd(
         call: DirectCall,
         outcome: Outcome?,
     ) {
@@ -149,12 +149,12 @@
     }
 
     private companion object {
-        val TICK = 100.milliseconds
+        val TICK_INTERVAL = 100.milliseconds
 
-        /** The balancer asks once a second and turns away after two refusals. */
-        val BALANCER_NOTICES = 2_300.milliseconds
-        val RETIRE_NOTICE = 400.milliseconds
-        val STOP_CHECK = 50.milliseconds
-        val STOP_MARGIN = 700.milliseconds
+        /** The load balancer checks readiness once a second and stops routing here after two failed checks. */
+        val LOAD_BALANCER_DRAIN_TIME = 2_300.milliseconds
+        val CONNECTION_DRAIN_TIME = 400.milliseconds
+        val SHUTDOWN_CHECK_INTERVAL = 50.milliseconds
+        val SHUTDOWN_MARGIN = 700.milliseconds
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectSettings.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectSettings.kt
@@ -1,5 +1,6 @@
 /**
- * The settings of a daemon that sends straight to back ends and reads everything else from the platform's store.
+ * The settings of a daemon in direct mode, which sends requests straight to back ends and reads routes, customers and
+ * back ends from the platform's store.
  */
 package lagoonrudder.daemon.direct
 
@@ -24,20 +25,20 @@
 import lagoonrudder.wire.documents.readIni
 import kotlin.time.Duration
 
-/** Where an entry daemon listens: for callers, for the balancer's question, and for its peers. */
+/** Addresses on which an entry daemon listens for callers, for readiness checks of the load balancer, and for its peers. */
 data class DirectListenSettings(
     val callers: Address,
     val ready: Address,
     val peers: Address,
 )
 
-/** The back end beside a target daemon. */
+/** The back end on the same instance as a target daemon. */
 data class DirectSlotSettings(
     val service: ServiceId,
     val backEnd: Address,
 )
 
-/** [stopGrace] is the time from the stop signal to the end of the process. */
+/** Limits from the section `bounds`; [stopGrace] is the time from the stop signal to the exit of the process. */
 data class DirectBounds(
     val placement: PlacementBounds,
     val repeats: RepeatBounds,
@@ -58,7 +59,7 @@
     val bounds: DirectBounds,
 )
 
-/** Reads settings from [text]; [file] is named in errors. */
+/** Parses settings from [text]; [file] is the name for error messages. */
 fun readDirectSettings(
     text: String,
     file: String,
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectTargetDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectTargetDaemon.kt
@@ -1,5 +1,5 @@
 /**
- * The daemon beside a back end, which brings weights to it and gives it its orders.
+ * The target daemon in direct mode, which runs beside a back end, stages weights on it and orders it to load them.
  */
 package lagoonrudder.daemon.direct
 
@@ -15,7 +15,7 @@
 
     override suspend fun start() {
         val slot = core.settings.slot
-        serveOperators(this)
+        startOperatorServer(this)
         core.scope.launch { peers.run() }
         core.scope.launch { store.run() }
         if (slot != null) core.scope.launch { StagingLoop(core, slot, peers, WeightFetcher(core, client)).run() }
@@ -26,7 +26,7 @@
         core.log.info("stopped")
     }
 
-    /** Entry daemons that start beside this one know nothing yet, so the first reading is the store's. */
+    /** Entry daemons that start at the same time have no state yet, so the first state is read from the store. */
     private suspend fun isConfirmed() = core.thread.decide { core.publication.confirmed }
 
     override fun dump() = core.dump()
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/GossipLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/GossipLoop.kt
@@ -1,6 +1,6 @@
 /**
- * Exchanges words with other daemons: what each has in flight, who is alive, and what the store's items are for a daemon
- * that lags behind.
+ * Exchanges gossip messages with other daemons: requests in flight by target, live peers, and store items for a daemon
+ * that lags behind the store.
  */
 package lagoonrudder.daemon.direct
 
@@ -28,7 +28,10 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** [loads] is what this process has in flight; [onChange] runs on the control thread when a peer brought something new. */
+/**
+ * Runs the gossip of this daemon. [loads] returns this process's requests in flight by target; [onChange] runs on the
+ * control thread after a reply changed the published state.
+ */
 class GossipLoop(
     private val core: DirectCore,
     private val client: PeerClient,
@@ -37,15 +40,15 @@
 ) {
     private val exchanges = mutableMapOf<Address, Job>()
     private var behindSince: Duration? = null
-    private var answeredAt: Duration? = null
-    private var nearPartners: Set<Address> = emptySet()
+    private var lastReplyAt: Duration? = null
+    private var sameRegionPeers: Set<Address> = emptySet()
 
-    /** The word about the back end in this daemon's slot, or null at an entry daemon. */
+    /** State of the back end in this daemon's slot, or null at an entry daemon. */
     @Volatile
     var slot: SlotWord? = null
 
-    /** Whether any peer has answered lately. */
-    fun hasRecentReply(): Boolean = answeredAt?.let { core.clock.elapsed() - it < RECENT_REPLY_WINDOW } ?: false
+    /** Whether any peer has replied within [RECENT_REPLY_WINDOW]. */
+    fun hasRecentReply(): Boolean = lastReplyAt?.let { core.clock.elapsed() - it < RECENT_REPLY_WINDOW } ?: false
 
     suspend fun run() {
         when (core.self.role) {
@@ -54,7 +57,7 @@
         }
     }
 
-    /** Tells all live entry daemons at once what [slot] says. */
+    /** Sends [slot] to all live entry daemons at once, without waiting for the next round. */
     suspend fun announce() {
         val addresses = core.thread.decide { core.peers.liveEntries(core.clock.elapsed()).mapNotNull { it.address } }
         addresses.forEach { address -> core.scope.launch { exchange(address, wantsPeers = false) } }
@@ -62,47 +65,47 @@
 
     private suspend fun exchangeWithAll() {
         while (currentCoroutineContext().isActive) {
-            val partners = core.thread.decide { core.peers.partners(core.clock.elapsed()) }
-            val over = exchanges.keys - partners.toSet()
-            over.forEach { exchanges.remove(it)?.cancel() }
-            for (partner in partners) exchanges.getOrPut(partner) { core.scope.launch { exchangeRepeatedly(partner) } }
-            nearPartners = core.thread.decide { nearAddresses() }
-            delay(PARTNERS_PAUSE)
+            val gossipAddresses = core.thread.decide { core.peers.partners(core.clock.elapsed()) }
+            val removed = exchanges.keys - gossipAddresses.toSet()
+            removed.forEach { exchanges.remove(it)?.cancel() }
+            for (address in gossipAddresses) exchanges.getOrPut(address) { core.scope.launch { exchangePeriodically(address) } }
+            sameRegionPeers = core.thread.decide { sameRegionAddresses() }
+            delay(MEMBERSHIP_CHECK_INTERVAL)
         }
     }
 
-    private suspend fun exchangeRepeatedly(address: Address) {
+    private suspend fun exchangePeriodically(address: Address) {
         var failures = 0
         var round = 0
         while (currentCoroutineContext().isActive) {
-            val heard = exchange(address, wantsPeers = round++ % PEERS_EVERY == 0)
-            failures = if (heard) 0 else failures + 1
-            val pause = if (address in nearPartners) EXCHANGE_PAUSE else FAR_EXCHANGE_PAUSE
-            delay(if (heard) pause else (FAILED_PAUSE * failures).coerceAtMost(LONGEST_PAUSE))
+            val replied = exchange(address, wantsPeers = round++ % ROUNDS_PER_PEER_LIST == 0)
+            failures = if (replied) 0 else failures + 1
+            val interval = if (address in sameRegionPeers) EXCHANGE_INTERVAL else CROSS_REGION_EXCHANGE_INTERVAL
+            delay(if (replied) interval else (RETRY_DELAY * failures).coerceAtMost(MAX_RETRY_DELAY))
         }
     }
 
-    private fun nearAddresses(): Set<Address> =
+    private fun sameRegionAddresses(): Set<Address> =
         core.peers
             .liveEntries(core.clock.elapsed())
             .filter { it.region == core.self.region }
             .mapNotNull { it.address }
             .toSet()
 
-    /** A target daemon asks one entry daemon of its region at a time, and the next one when that fails. */
+    /** Exchanges with one entry daemon at a time, preferably of this region, and with the next one when that fails. */
     private suspend fun exchangeWithOne() {
         var failures = 0
         while (currentCoroutineContext().isActive) {
             val candidates = core.thread.decide { candidates() }
-            val heard = candidates.isNotEmpty() && exchange(candidates[failures % candidates.size], wantsPeers = true)
-            if (!heard) failures++
-            delay(if (heard) TARGET_PAUSE else FAILED_PAUSE)
+            val replied = candidates.isNotEmpty() && exchange(candidates[failures % candidates.size], wantsPeers = true)
+            if (!replied) failures++
+            delay(if (replied) TARGET_EXCHANGE_INTERVAL else RETRY_DELAY)
         }
     }
 
     private fun candidates(): List<Address> {
-        val (near, far) = core.peers.liveEntries(core.clock.elapsed()).partition { it.region == core.self.region }
-        val ordered = rendezvousOrder(core.self.daemon.text, near) { it.daemon.text } + far
+        val (sameRegion, otherRegions) = core.peers.liveEntries(core.clock.elapsed()).partition { it.region == core.self.region }
+        val ordered = rendezvousOrder(core.self.daemon.text, sameRegion) { it.daemon.text } + otherRegions
         return (ordered.mapNotNull { it.address } + core.peers.seeds).distinct()
     }
 
@@ -110,24 +113,24 @@
         address: Address,
         wantsPeers: Boolean,
     ): Boolean {
-        val message = core.thread.decide { word(wantsPeers) }
+        val message = core.thread.decide { gossipMessage(wantsPeers) }
         return when (val reply = client.gossip(address, message)) {
             is Either.Left -> false
             is Either.Right -> {
-                answeredAt = core.clock.elapsed()
-                take(reply.value, address)
+                lastReplyAt = core.clock.elapsed()
+                applyReply(reply.value, address)
                 true
             }
         }
     }
 
-    private fun word(wantsPeers: Boolean): WordMessage {
-        val lags = behindSince?.let { core.clock.elapsed() - it > LAG_ALLOWED } ?: false
-        val wantsItems = lags || !core.publication.confirmed || core.self.role == DaemonRole.TARGET
+    private fun gossipMessage(wantsPeers: Boolean): WordMessage {
+        val isLagging = behindSince?.let { core.clock.elapsed() - it > MAX_STORE_LAG } ?: false
+        val wantsItems = isLagging || !core.publication.confirmed || core.self.role == DaemonRole.TARGET
         return WordMessage(core.self.toMessage(), core.publication.at, wantsItems, loads().toMessages(), slot?.toMessage(), wantsPeers)
     }
 
-    private suspend fun take(
+    private suspend fun applyReply(
         reply: WordReply,
         address: Address,
     ) {
@@ -137,14 +140,14 @@
                 val now = core.clock.elapsed()
                 core.peers.heard(reply.self.toPeer(), reply.loads.toLoads(), now)
                 core.peers.sighted(reply.sightings.map { it.toSighting() }, now)
-                val behind = reply.at > core.publication.at
-                if (!behind) {
+                val isBehind = reply.at > core.publication.at
+                if (!isBehind) {
                     behindSince = null
                 } else if (behindSince == null) {
                     behindSince = now
                 }
-                val brings = items.isNotEmpty() || (!core.publication.confirmed && core.publication.serving != null && !behind)
-                if (!brings) return@decide null
+                val isUpdate = items.isNotEmpty() || (!core.publication.confirmed && core.publication.serving != null && !isBehind)
+                if (!isUpdate) return@decide null
                 behindSince = null
                 core.publication.takeSettled(items, reply.at, now).also { onChange() }
             }
@@ -152,19 +155,24 @@
     }
 
     private companion object {
-        /** Neighbours send most of their requests to the same back ends, a dozen a second each. */
-        val EXCHANGE_PAUSE = 100.milliseconds
-
-        /** Both sides learn from each exchange, and the links between regions are thin. */
-        val FAR_EXCHANGE_PAUSE = 450.milliseconds
-        val TARGET_PAUSE = 400.milliseconds
-        val FAILED_PAUSE = 300.milliseconds
-        val LONGEST_PAUSE = 2.seconds
-        val PARTNERS_PAUSE = 500.milliseconds
-
-        /** The store's own watch brings a change within this time when it is sound. */
-        val LAG_ALLOWED = 200.milliseconds
+        /**
+         * Entry daemons of one region send most of their requests to the same back ends, about twelve a second each, so
+         * each needs the others' loads promptly.
+         */
+        val EXCHANGE_INTERVAL = 100.milliseconds
+
+        /** Longer than within a region: each exchange updates both sides, and links between regions have little bandwidth. */
+        val CROSS_REGION_EXCHANGE_INTERVAL = 450.milliseconds
+        val TARGET_EXCHANGE_INTERVAL = 400.milliseconds
+        val RETRY_DELAY = 300.milliseconds
+        val MAX_RETRY_DELAY = 2.seconds
+        val MEMBERSHIP_CHECK_INTERVAL = 500.milliseconds
+
+        /** A working watch on the store delivers a change within this time; after that, items are requested from peers. */
+        val MAX_STORE_LAG = 200.milliseconds
         val RECENT_REPLY_WINDOW = 2.seconds
-        const val PEERS_EVERY = 4
+
+        /** The list of live peers is requested once in this many exchanges. */
+        const val ROUNDS_PER_PEER_LIST = 4
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/Main.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/Main.kt
@@ -1,5 +1,5 @@
 /**
- * The daemon program on the direct way: reads its settings, runs, reloads on a hang-up signal, and stops on a stop signal.
+ * The program of a daemon in direct mode. It reloads its settings on SIGHUP and stops on SIGTERM or SIGINT.
  */
 package lagoonrudder.daemon.direct
 
@@ -16,7 +16,7 @@
 import java.util.concurrent.CountDownLatch
 import kotlin.system.exitProcess
 
-private const val EXIT_WRONG_INPUT = 2
+private const val EXIT_INVALID_SETTINGS = 2
 
 fun main(arguments: Array<String>) {
     val parser = ArgParser("lagoonrudderd-direct")
@@ -25,40 +25,40 @@
     val settings = readSettingsFile(file).getOrElse { exit(it) }
     val core = DirectCore(settings, SystemClock())
     val daemon = directDaemon(core)
-    val ended = CountDownLatch(1)
+    val stopped = CountDownLatch(1)
     Runtime.getRuntime().addShutdownHook(
         Thread {
             runBlocking { daemon.stop() }
-            ended.countDown()
+            stopped.countDown()
         },
     )
     Signal.handle(Signal("HUP")) { core.scope.launch { reload(core, file) } }
     runBlocking { daemon.start() }
-    ended.await()
+    stopped.await()
 }
 
-/** Takes over what may change while running, the seeds; settings that can't be read change nothing. */
+/** Applies the one setting that may change at run time, the seeds. Settings that can't be read change nothing. */
 private suspend fun reload(
     core: DirectCore,
     file: String,
 ) {
-    val next =
+    val reloaded =
         readSettingsFile(file).getOrElse {
             core.log.warning("reload-refused", "detail" to it)
             return
         }
-    core.thread.decide { core.peers.seeds = next.seeds }
-    core.log.info("reloaded", "seeds" to next.seeds)
+    core.thread.decide { core.peers.seeds = reloaded.seeds }
+    core.log.info("reloaded", "seeds" to reloaded.seeds)
 }
 
 private fun readSettingsFile(file: String): arrow.core.Either<String, DirectSettings> =
     try {
         readDirectSettings(File(file).readText(), file).mapLeft { it.describe() }
-    } catch (missing: IOException) {
-        arrow.core.Either.Left("file $file: ${missing.message}")
+    } catch (unreadable: IOException) {
+        arrow.core.Either.Left("file $file: ${unreadable.message}")
     }
 
 private fun exit(message: String): Nothing {
     System.err.println("lagoonrudderd-direct: $message")
-    exitProcess(EXIT_WRONG_INPUT)
+    exitProcess(EXIT_INVALID_SETTINGS)
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/OperatorRequestHandler.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/OperatorRequestHandler.kt
@@ -1,5 +1,5 @@
 /**
- * The address for operators: metrics in the Prometheus text format and the dump of every controller.
+ * Serves metrics in the Prometheus text format and the state dump of every controller to operators.
  */
 package lagoonrudder.daemon.direct
 
@@ -9,28 +9,28 @@
 import lagoonrudder.http.HttpHandler
 import lagoonrudder.http.NO_BYTES
 
-/** What a daemon shows of itself; both functions run on the control thread. */
+/** State that a direct-mode daemon exposes to operators. Both functions run on the control thread. */
 interface DirectDiagnostics {
     fun dump(): List<DumpSection>
 
-    /** Gauges by name. */
+    /** Returns gauge values by metric name, without the `lagoonrudder_` prefix. */
     fun gauges(): Map<String, Number>
 }
 
 class OperatorRequestHandler(
     private val core: DirectCore,
-    private val view: DirectDiagnostics,
+    private val diagnostics: DirectDiagnostics,
 ) : HttpHandler {
     override suspend fun handle(exchange: HttpExchange) {
         when (exchange.request.target) {
             "/metrics" -> exchange.respond(OK, emptyList(), metrics().encodeToByteArray())
-            "/dump" -> exchange.respond(OK, emptyList(), core.thread.decide { renderDump(view.dump()) }.encodeToByteArray())
+            "/dump" -> exchange.respond(OK, emptyList(), core.thread.decide { renderDump(diagnostics.dump()) }.encodeToByteArray())
             else -> exchange.respond(NOT_FOUND, emptyList(), NO_BYTES)
         }
     }
 
     private suspend fun metrics(): String {
-        val gauges = core.thread.decide { view.gauges() }
+        val gauges = core.thread.decide { diagnostics.gauges() }
         return core.metrics.render() + gauges.entries.joinToString("") { "lagoonrudder_${it.key} ${it.value}\n" }
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PauseDetector.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PauseDetector.kt
@@ -1,8 +1,8 @@
 /**
- * Notices that this process stood still, so that beliefs are confirmed before new work is taken.
+ * Detects that this process was suspended, so that its cached state is confirmed before it accepts new requests.
  *
- * A tick that comes late shows a pause on the monotonic clock. A pause that this clock doesn't count shows as a jump of the
- * date against it; a step of the date looks the same and costs one needless confirmation.
+ * A late tick reveals a pause on the monotonic clock. A pause that the monotonic clock does not count shows as a jump of
+ * the wall clock relative to it. An adjustment of the wall clock looks the same and costs one needless confirmation.
  */
 package lagoonrudder.daemon.direct
 
@@ -14,19 +14,19 @@
     private val clock: Clock,
 ) {
     private var lastElapsed = clock.elapsed()
-    private var lastDate = clock.now()
+    private var lastWallTime = clock.now()
 
-    /** How long the process stood still since the last call, or null when it ran as it should. */
-    fun pause(expected: Duration): Duration? {
+    /** Returns how much later than [expected] this call follows the last one, or null when that is within the tolerance. */
+    fun check(expected: Duration): Duration? {
         val elapsed = clock.elapsed() - lastElapsed
-        val date = clock.now() - lastDate
+        val wallTime = clock.now() - lastWallTime
         lastElapsed += elapsed
-        lastDate += date
-        val late = maxOf(elapsed, date) - expected
-        return late.takeIf { it > LONGEST_LATENESS }
+        lastWallTime += wallTime
+        val delay = maxOf(elapsed, wallTime) - expected
+        return delay.takeIf { it > MAX_TICK_DELAY }
     }
 
     private companion object {
-        val LONGEST_LATENESS = 700.milliseconds
+        val MAX_TICK_DELAY = 700.milliseconds
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerClient.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerClient.kt
@@ -1,5 +1,5 @@
 /**
- * Calls from one daemon to another: words, pieces of weights and their manifests.
+ * Client for calls from one daemon to another: gossip messages, chunks of weights and their manifests.
  */
 package lagoonrudder.daemon.direct
 
@@ -30,11 +30,11 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The calls that a daemon answers to its peers. */
+/** Paths on which an entry daemon serves its peers. */
 object PeerPaths {
-    const val WORD = "/peer/word"
+    const val GOSSIP = "/peer/word"
     const val MANIFEST = "/peer/manifest"
-    const val PIECE = "/peer/piece"
+    const val CHUNK = "/peer/piece"
 }
 
 class PeerClient(
@@ -44,8 +44,8 @@
         address: Address,
         message: WordMessage,
     ): Either<Failure, WordReply> {
-        val request = HttpRequest("POST", PeerPaths.WORD, emptyList(), encodeMessage(WordMessage.serializer(), message))
-        return call(address, request, WORD_LIMIT).flatMap { decoded(address, WordReply.serializer(), it) }
+        val request = HttpRequest("POST", PeerPaths.GOSSIP, emptyList(), encodeMessage(WordMessage.serializer(), message))
+        return call(address, request, GOSSIP_TIMEOUT).flatMap { decode(address, WordReply.serializer(), it) }
     }
 
     suspend fun manifest(
@@ -54,10 +54,10 @@
         number: WeightNumber?,
     ): Either<Failure, WeightManifest> {
         val request = HttpRequest("GET", "${PeerPaths.MANIFEST}/${model.text}/${number?.number ?: 0}", emptyList())
-        return call(address, request, PIECE_LIMIT).flatMap { decoded(address, ManifestMessage.serializer(), it) }.map { it.toManifest() }
+        return call(address, request, CHUNK_TIMEOUT).flatMap { decode(address, ManifestMessage.serializer(), it) }.map { it.toManifest() }
     }
 
-    suspend fun piece(
+    suspend fun chunk(
         address: Address,
         model: ModelId,
         number: WeightNumber,
@@ -65,25 +65,25 @@
     ): Either<Failure, ByteArray> =
         call(
             address,
-            HttpRequest("GET", "${PeerPaths.PIECE}/${model.text}/${number.number}/$index", emptyList()),
-            PIECE_LIMIT,
+            HttpRequest("GET", "${PeerPaths.CHUNK}/${model.text}/${number.number}/$index", emptyList()),
+            CHUNK_TIMEOUT,
         ).map { it.body }
 
     private suspend fun call(
         address: Address,
         request: HttpRequest,
-        limit: Duration,
+        timeout: Duration,
     ): Either<Failure, HttpResponse> {
         val peer = Peer(PeerRole.ENTRY, address.toString())
         val result =
-            http.exchange(address, request, peer, limit).flatMap {
-                if (it.head.status == OK) it.right() else Failure.Declined(Step.SEND, peer, "status ${it.head.status}").left()
+            http.exchange(address, request, peer, timeout).flatMap {
+                if (it.head.status == OK) it.right() else Failure.Declined(Step.SEND, peer, "status ${it.head.status}, expected 200").left()
             }
         if (result is Either.Left && result.value is Failure.TimedOut) http.forget(address)
         return result
     }
 
-    private fun <T> decoded(
+    private fun <T> decode(
         address: Address,
         serializer: KSerializer<T>,
         response: HttpResponse,
@@ -96,9 +96,9 @@
 
     private companion object {
         const val OK = 200
-        val WORD_LIMIT = 800.milliseconds
+        val GOSSIP_TIMEOUT = 800.milliseconds
 
-        /** A piece may wait at the other daemon until the origin has sent it. */
-        val PIECE_LIMIT = 3.seconds
+        /** The peer may first have to fetch the chunk from the origin. */
+        val CHUNK_TIMEOUT = 3.seconds
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerEndpoint.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerEndpoint.kt
@@ -1,5 +1,5 @@
 /**
- * What an entry daemon answers to its peers.
+ * Serves gossip messages, manifests and chunks of weights to the peers of an entry daemon.
  */
 package lagoonrudder.daemon.direct
 
@@ -25,50 +25,50 @@
 
 class PeerEndpoint(
     private val core: DirectCore,
-    private val pieces: ChunkCache,
+    private val chunks: ChunkCache,
     private val loads: () -> Map<TargetId, Int>,
-    private val slotChanged: () -> Unit,
+    private val onSlotChanged: () -> Unit,
 ) : HttpHandler {
     override suspend fun handle(exchange: HttpExchange) {
-        val parts =
+        val segments =
             exchange.request.target
                 .split('/')
                 .drop(1)
-        val call = "/" + parts.take(2).joinToString("/")
+        val path = "/" + segments.take(2).joinToString("/")
         when {
-            call == PeerPaths.WORD -> word(exchange)
-            call == PeerPaths.MANIFEST && parts.size == MANIFEST_PARTS -> manifest(exchange, parts)
-            call == PeerPaths.PIECE && parts.size == PIECE_PARTS -> piece(exchange, parts)
+            path == PeerPaths.GOSSIP -> gossip(exchange)
+            path == PeerPaths.MANIFEST && segments.size == MANIFEST_PATH_SEGMENTS -> manifest(exchange, segments)
+            path == PeerPaths.CHUNK && segments.size == CHUNK_PATH_SEGMENTS -> chunk(exchange, segments)
             else -> exchange.respond(NOT_FOUND, emptyList(), NO_BYTES)
         }
     }
 
-    private suspend fun word(exchange: HttpExchange) {
+    private suspend fun gossip(exchange: HttpExchange) {
         val message =
             try {
                 decodeMessage(WordMessage.serializer(), exchange.request.body)
             } catch (malformed: MalformedMessage) {
-                core.log.warning("word-malformed", "detail" to malformed.message)
+                core.log.warning("gossip-malformed", "detail" to malformed.message)
                 exchange.respond(BAD_REQUEST, emptyList(), NO_BYTES)
                 return
             }
-        val reply = core.thread.decide { answer(message) }
+        val reply = core.thread.decide { replyTo(message) }
         exchange.respond(OK, emptyList(), encodeMessage(WordReply.serializer(), reply))
     }
 
-    private fun answer(message: WordMessage): WordReply {
+    private fun replyTo(message: WordMessage): WordReply {
         val now = core.clock.elapsed()
         core.peers.heard(message.self.toPeer(), message.loads.toLoads(), now)
-        val word = message.slot?.toWord()
-        if (word != null && core.slots.heard(word, now)) {
+        val slot = message.slot?.toWord()
+        if (slot != null && core.slots.heard(slot, now)) {
             core.log.info(
                 "slot-heard",
-                "back-end" to word.backEnd,
-                "number" to word.held?.number?.number,
-                "closed" to word.closed,
+                "back-end" to slot.backEnd,
+                "number" to slot.held?.number?.number,
+                "closed" to slot.closed,
                 "peer" to message.self.daemon,
             )
-            slotChanged()
+            onSlotChanged()
         }
         return WordReply(
             self = core.self.toMessage(),
@@ -81,32 +81,32 @@
 
     private suspend fun manifest(
         exchange: HttpExchange,
-        parts: List<String>,
+        segments: List<String>,
     ) {
-        val number = parts[3].toLongOrNull()?.takeIf { it > 0 }?.let { WeightNumber(it) }
-        when (val manifest = pieces.manifest(ModelId(parts[2]), number)) {
+        val number = segments[3].toLongOrNull()?.takeIf { it > 0 }?.let { WeightNumber(it) }
+        when (val manifest = chunks.manifest(ModelId(segments[2]), number)) {
             is Either.Right -> exchange.respond(OK, emptyList(), encodeMessage(ManifestMessage.serializer(), manifest.value.toMessage()))
-            is Either.Left -> unavailable(exchange, manifest.value)
+            is Either.Left -> respondUnavailable(exchange, manifest.value)
         }
     }
 
-    private suspend fun piece(
+    private suspend fun chunk(
         exchange: HttpExchange,
-        parts: List<String>,
+        segments: List<String>,
     ) {
-        val number = parts[3].toLongOrNull()
-        val index = parts[4].toIntOrNull()
+        val number = segments[3].toLongOrNull()
+        val index = segments[4].toIntOrNull()
         if (number == null || index == null) {
             exchange.respond(BAD_REQUEST, emptyList(), NO_BYTES)
             return
         }
-        when (val piece = pieces.piece(ModelId(parts[2]), WeightNumber(number), index)) {
-            is Either.Right -> exchange.respond(OK, emptyList(), piece.value)
-            is Either.Left -> unavailable(exchange, piece.value)
+        when (val chunk = chunks.chunk(ModelId(segments[2]), WeightNumber(number), index)) {
+            is Either.Right -> exchange.respond(OK, emptyList(), chunk.value)
+            is Either.Left -> respondUnavailable(exchange, chunk.value)
         }
     }
 
-    private suspend fun unavailable(
+    private suspend fun respondUnavailable(
         exchange: HttpExchange,
         failure: Failure,
     ) = exchange.respond(UNAVAILABLE, emptyList(), failure.describe().encodeToByteArray())
@@ -116,7 +116,7 @@
         const val BAD_REQUEST = 400
         const val NOT_FOUND = 404
         const val UNAVAILABLE = 503
-        const val MANIFEST_PARTS = 4
-        const val PIECE_PARTS = 5
+        const val MANIFEST_PATH_SEGMENTS = 4
+        const val CHUNK_PATH_SEGMENTS = 5
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StagingLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StagingLoop.kt
@@ -1,6 +1,6 @@
 /**
- * Brings the weights that are wanted into the back end beside this daemon: draws the pieces, stages them, verifies what is
- * staged, orders the back end to load it, and tells the entry daemons what the back end holds.
+ * Deploys the wanted weights to the back end beside this daemon: fetches the chunks, stages and verifies them, orders the
+ * back end to load them, and announces to the entry daemons which weights the back end holds.
  */
 package lagoonrudder.daemon.direct
 
@@ -32,11 +32,11 @@
     private val core: DirectCore,
     private val slot: DirectSlotSettings,
     private val peers: GossipLoop,
-    private val sources: WeightFetcher,
+    private val fetcher: WeightFetcher,
 ) {
     private val backEnd = SlotCalls(core.http, slot.backEnd)
     private var manifest: WeightManifest? = null
-    private val sound = mutableSetOf<Int>()
+    private val stagedChunks = mutableSetOf<Int>()
     private var verifiedAt: Duration? = null
     private var born = 0L
     private var reachable = false
@@ -45,11 +45,11 @@
         while (currentCoroutineContext().isActive) {
             val report = report()
             val wanted = report?.let { core.thread.decide { core.staging.wanted(slot.service, it) } }
-            if (wanted == null || report.loading) delay(IDLE_PAUSE) else bring(wanted, report)
+            if (wanted == null || report.loading) delay(IDLE_POLL_INTERVAL) else stageAndLoad(wanted, report)
         }
     }
 
-    /** Reads the back end's report and announces what changed; null while it doesn't answer. */
+    /** Reads the back end's report and announces a changed state; returns null while the back end does not respond. */
     private suspend fun report(): BackEndReport? {
         val report =
             backEnd.report().getOrElse { failure ->
@@ -66,37 +66,37 @@
             )
         }
         reachable = true
-        if (report.born != born) restarted(report)
-        say(SlotWord(slot.backEnd, report.born, report.held, report.loading))
+        if (report.born != born) onRestart(report)
+        announce(SlotWord(slot.backEnd, report.born, report.held, report.loading))
         return report
     }
 
-    private fun restarted(report: BackEndReport) {
+    private fun onRestart(report: BackEndReport) {
         born = report.born
-        sound.clear()
+        stagedChunks.clear()
         manifest = null
         verifiedAt = null
     }
 
-    private suspend fun say(word: SlotWord) {
+    private suspend fun announce(state: SlotWord) {
         val before = peers.slot
-        if (before == word) return
-        peers.slot = word
+        if (before == state) return
+        peers.slot = state
         peers.announce()
     }
 
-    private suspend fun bring(
+    private suspend fun stageAndLoad(
         wanted: WantedWeights,
         report: BackEndReport,
     ) {
         val manifest = manifestOf(wanted, report)
         if (manifest == null) {
-            delay(FAILED_PAUSE)
+            delay(RETRY_DELAY)
             return
         }
         if (!stage(manifest)) return
         if (!awaitTurn(manifest, report)) return
-        if (wasJustVerified() || verify(manifest)) order(manifest, report)
+        if (isRecentlyVerified() || verify(manifest)) orderLoad(manifest, report)
     }
 
     private suspend fun manifestOf(
@@ -107,30 +107,35 @@
         if (known != null) return known
         val begun = manifest?.takeIf { it.model == wanted.model && it.number > (report.held?.number ?: NONE_HELD) }
         if (begun != null && isStillWanted(begun) && !isOutdated(begun)) return begun
-        val from = core.thread.decide { core.staging.sources(wanted.model, wanted.number, MANIFEST, core.clock.elapsed()) }
-        val drawn = sources.manifest(from, wanted.model, wanted.number).getOrElse { return null }
-        manifest = drawn
-        sound.clear()
-        verify(drawn)
+        val sources = core.thread.decide { core.staging.sources(wanted.model, wanted.number, MANIFEST_INDEX, core.clock.elapsed()) }
+        val fetched = fetcher.manifest(sources, wanted.model, wanted.number).getOrElse { return null }
+        manifest = fetched
+        stagedChunks.clear()
+        verify(fetched)
         core.log.info(
             "staging",
-            "model" to drawn.model.text,
-            "number" to drawn.number.number,
-            "pieces" to drawn.digests.size,
-            "held" to sound.size,
+            "model" to fetched.model.text,
+            "number" to fetched.number.number,
+            "pieces" to fetched.digests.size,
+            "held" to stagedChunks.size,
         )
-        return drawn
+        return fetched
     }
 
-    /** Draws and stages what is missing; false when another version is wanted meanwhile or a piece can't be had. */
+    /**
+     * Fetches and stages the missing chunks; returns false when another version has become the wanted one or a chunk could
+     * not be fetched or staged.
+     */
     private suspend fun stage(manifest: WeightManifest): Boolean {
         val started = core.clock.elapsed()
-        val missing = manifest.digests.indices.filter { it !in sound }
+        val missing = manifest.digests.indices.filter { it !in stagedChunks }
         if (missing.isEmpty()) return true
-        val draws = Semaphore(DRAWS_AT_ONCE)
+        val fetchPermits = Semaphore(MAX_CONCURRENT_FETCHES)
         val staged =
             coroutineScope {
-                missing.map { index -> async { draws.withPermit { isStillWanted(manifest) && stageOne(manifest, index) } } }.awaitAll()
+                missing
+                    .map { index -> async { fetchPermits.withPermit { isStillWanted(manifest) && stageChunk(manifest, index) } } }
+                    .awaitAll()
             }
         val complete = staged.all { it }
         core.log.info(
@@ -140,25 +145,25 @@
             "missing" to staged.count { !it },
             "took" to core.clock.elapsed() - started,
         )
-        if (!complete) delay(FAILED_PAUSE)
+        if (!complete) delay(RETRY_DELAY)
         return complete
     }
 
-    private suspend fun stageOne(
+    private suspend fun stageChunk(
         manifest: WeightManifest,
         index: Int,
     ): Boolean {
-        val from = core.thread.decide { core.staging.sources(manifest.model, manifest.number, index, core.clock.elapsed()) }
-        val bytes = sources.piece(from, manifest, index).getOrElse { return false }
+        val sources = core.thread.decide { core.staging.sources(manifest.model, manifest.number, index, core.clock.elapsed()) }
+        val bytes = fetcher.chunk(sources, manifest, index).getOrElse { return false }
         val staged = backEnd.stage(manifest.model, index, bytes)
         if (staged is Either.Left) core.log.failure("stage-failed", staged.value, "piece" to index)
         verifiedAt = null
-        if (staged is Either.Right) sound += index
+        if (staged is Either.Right) stagedChunks += index
         return staged.isRight()
     }
 
     private suspend fun isStillWanted(manifest: WeightManifest): Boolean =
-        core.thread.decide { core.staging.finishes(manifest.model, manifest.number, sound.size, manifest.digests.size) }
+        core.thread.decide { core.staging.finishes(manifest.model, manifest.number, stagedChunks.size, manifest.digests.size) }
 
     private suspend fun awaitTurn(
         manifest: WeightManifest,
@@ -169,7 +174,7 @@
             val turn = turn(manifest, report) ?: return true
             val wait = turn.at - core.clock.elapsed()
             if (wait <= Duration.ZERO) return true
-            delay(minOf(wait, TURN_CHECK))
+            delay(minOf(wait, TURN_CHECK_INTERVAL))
         }
         return false
     }
@@ -179,70 +184,70 @@
         report: BackEndReport,
     ): SwitchTurn? = core.thread.decide { core.staging.turn(slot.service, slot.backEnd, report, manifest.number) }
 
-    /** Whether a newer version was declared and can be drawn: then this one is passed over. */
+    /** Whether a newer version was declared and can be fetched, so that [manifest] is skipped. */
     private suspend fun isOutdated(manifest: WeightManifest): Boolean {
         val newest = core.thread.decide { core.publication.declared(manifest.model)?.number }
         if (newest == null || newest <= manifest.number) return false
         val last = manifest.digests.lastIndex
-        val from = core.thread.decide { core.staging.sources(manifest.model, newest, last, core.clock.elapsed()) }
-        val canBeDrawn =
-            withTimeoutOrNull(NEWER_LIMIT) {
-                val newer = sources.manifest(from, manifest.model, newest).getOrElse { return@withTimeoutOrNull false }
-                // Entry daemons draw ahead in order, so the last piece is there when the others are.
-                sources.piece(from, newer, last).isRight()
+        val sources = core.thread.decide { core.staging.sources(manifest.model, newest, last, core.clock.elapsed()) }
+        val canBeFetched =
+            withTimeoutOrNull(NEWER_VERSION_TIMEOUT) {
+                val newer = fetcher.manifest(sources, manifest.model, newest).getOrElse { return@withTimeoutOrNull false }
+                // Entry daemons prefetch chunks in order, so the last one is available only when the others are.
+                fetcher.chunk(sources, newer, last).isRight()
             } ?: false
-        core.log.info("newer-version", "number" to newest.number, "staged" to manifest.number.number, "can-be-drawn" to canBeDrawn)
-        return canBeDrawn
+        core.log.info("newer-version", "number" to newest.number, "staged" to manifest.number.number, "can-be-fetched" to canBeFetched)
+        return canBeFetched
     }
 
-    private fun wasJustVerified() = verifiedAt?.let { core.clock.elapsed() - it < VERIFIED_FOR } ?: false
+    private fun isRecentlyVerified() = verifiedAt?.let { core.clock.elapsed() - it < VERIFICATION_VALIDITY } ?: false
 
-    /** Reads every staged piece back; what isn't sound is drawn again. */
+    /** Reads every staged chunk back and compares its digest; those that do not match are fetched again. */
     private suspend fun verify(manifest: WeightManifest): Boolean {
         for (index in manifest.digests.indices) {
             val staged = backEnd.staged(manifest.model, index).getOrElse { null }
-            val isSound = staged != null && digestOf(staged) == manifest.digests[index]
-            if (isSound) sound += index else sound -= index
+            val isIntact = staged != null && digestOf(staged) == manifest.digests[index]
+            if (isIntact) stagedChunks += index else stagedChunks -= index
         }
-        val isWhole = sound.size == manifest.digests.size
-        verifiedAt = core.clock.elapsed().takeIf { isWhole }
-        return isWhole
+        val isComplete = stagedChunks.size == manifest.digests.size
+        verifiedAt = core.clock.elapsed().takeIf { isComplete }
+        return isComplete
     }
 
-    private suspend fun order(
+    private suspend fun orderLoad(
         manifest: WeightManifest,
         before: BackEndReport,
     ) {
         val handover = turn(manifest, before)?.handover(core.clock.elapsed()) ?: Handover.LET_END
-        val report = (if (before.held == null) unchanged(before) else close(before, handover)) ?: return
-        val ordered = core.clock.elapsed()
+        val report = (if (before.held == null) reportOfSameRun(before) else closeAndDrain(before, handover)) ?: return
+        val orderedAt = core.clock.elapsed()
         when (val answer = backEnd.start(manifest.model, manifest.number, report.orders, handover)) {
             is Either.Left -> core.log.failure("order-unanswered", answer.value, "number" to manifest.number.number)
             is Either.Right -> logOrder(manifest, answer.value, report)
         }
-        awaitLoaded(manifest, ordered)
+        awaitLoaded(manifest, orderedAt)
     }
 
-    /** The report of a back end that serves nothing and needs no notice; null when it restarted meanwhile. */
-    private suspend fun unchanged(before: BackEndReport): BackEndReport? = report()?.takeIf { it.born == before.born && !it.loading }
+    /** Returns the report of a back end that serves nothing, so needs no draining; null when it restarted or is loading. */
+    private suspend fun reportOfSameRun(before: BackEndReport): BackEndReport? = report()?.takeIf { it.born == before.born && !it.loading }
 
     /**
-     * Tells the entry daemons to send nothing more and waits until the back end's queue is empty: what still waits there
-     * when the order comes would wait until the load has ended. Requests that are to go on elsewhere get some time to end
-     * where they are. Null when the back end restarted meanwhile.
+     * Announces the back end as closed, so that the entry daemons send no more requests, and waits until its queue is empty:
+     * requests that are still queued when the order arrives would wait until the load has ended. Running requests that are
+     * to resume on another back end get some time to complete here. Returns null when the back end restarted meanwhile.
      */
-    private suspend fun close(
+    private suspend fun closeAndDrain(
         before: BackEndReport,
         handover: Handover,
     ): BackEndReport? {
-        val asked = core.clock.elapsed()
+        val closedAt = core.clock.elapsed()
         var report = report() ?: return null
         while (report.born == before.born && !report.loading) {
-            say(SlotWord(slot.backEnd, report.born, report.held, closed = true))
-            val waited = core.clock.elapsed() - asked
+            announce(SlotWord(slot.backEnd, report.born, report.held, closed = true))
+            val waited = core.clock.elapsed() - closedAt
             val isEmpty = report.waiting == 0 && (handover == Handover.LET_END || report.running == 0)
-            if (waited > QUEUE_LIMIT || (isEmpty && waited > NOTICE)) return report
-            delay(QUEUE_CHECK)
+            if (waited > QUEUE_DRAIN_TIMEOUT || (isEmpty && waited > GOSSIP_PROPAGATION_TIME)) return report
+            delay(QUEUE_CHECK_INTERVAL)
             report = backEnd.report().getOrElse { return null }
         }
         return null
@@ -261,46 +266,46 @@
         }
     }
 
-    /** Watches the back end until it has loaded or given up; an order without an answer shows in its report. */
+    /** Polls the back end until it has loaded or given up. Its report also tells whether an unanswered order took effect. */
     private suspend fun awaitLoaded(
         manifest: WeightManifest,
-        ordered: Duration,
+        orderedAt: Duration,
     ) {
-        while (core.clock.elapsed() - ordered < LOAD_LIMIT) {
-            delay(LOAD_CHECK)
+        while (core.clock.elapsed() - orderedAt < LOAD_TIMEOUT) {
+            delay(LOAD_CHECK_INTERVAL)
             val report = report() ?: return
             if (report.held?.number == manifest.number) {
-                core.log.info("loaded", "number" to manifest.number.number, "took" to core.clock.elapsed() - ordered)
+                core.log.info("loaded", "number" to manifest.number.number, "took" to core.clock.elapsed() - orderedAt)
                 return
             }
             if (!report.loading) return
         }
-        core.log.warning("load-unfinished", "number" to manifest.number.number, "after" to core.clock.elapsed() - ordered)
+        core.log.warning("load-unfinished", "number" to manifest.number.number, "after" to core.clock.elapsed() - orderedAt)
     }
 
     private companion object {
-        const val MANIFEST = -1
+        const val MANIFEST_INDEX = -1
         val NONE_HELD = WeightNumber(0)
 
-        /** The link of the slot also carries live requests: one piece is on its way while the one before is staged. */
-        const val DRAWS_AT_ONCE = 2
+        /** The link of the slot also carries requests, so one chunk is fetched while the previous one is staged. */
+        const val MAX_CONCURRENT_FETCHES = 2
 
-        /** What was read back whole so lately needs no second reading before the order. */
-        val VERIFIED_FOR = 300.milliseconds
-        val IDLE_PAUSE = 400.milliseconds
-        val FAILED_PAUSE = 300.milliseconds
-        val TURN_CHECK = 200.milliseconds
+        /** Chunks that were all verified this recently are not read back again before the order. */
+        val VERIFICATION_VALIDITY = 300.milliseconds
+        val IDLE_POLL_INTERVAL = 400.milliseconds
+        val RETRY_DELAY = 300.milliseconds
+        val TURN_CHECK_INTERVAL = 200.milliseconds
 
-        /** A piece that an entry daemon of the region holds comes within a few link times. */
-        val NEWER_LIMIT = 400.milliseconds
-        val LOAD_CHECK = 60.milliseconds
-        val QUEUE_CHECK = 40.milliseconds
+        /** A chunk that an entry daemon of the region has cached arrives within a few round trips. */
+        val NEWER_VERSION_TIMEOUT = 400.milliseconds
+        val LOAD_CHECK_INTERVAL = 60.milliseconds
+        val QUEUE_CHECK_INTERVAL = 40.milliseconds
 
-        /** By then the entry daemons have heard, and what they sent before has arrived. */
-        val NOTICE = 60.milliseconds
-        val QUEUE_LIMIT = 600.milliseconds
+        /** After this time the entry daemons have received the announcement, and requests sent before it have arrived. */
+        val GOSSIP_PROPAGATION_TIME = 60.milliseconds
+        val QUEUE_DRAIN_TIMEOUT = 600.milliseconds
 
-        /** Running work ends within a few seconds, and loading takes less than one. */
-        val LOAD_LIMIT = 8_000.milliseconds
+        /** Running requests end within a few seconds, and loading takes less than one. */
+        val LOAD_TIMEOUT = 8_000.milliseconds
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StoreSyncLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StoreSyncLoop.kt
@@ -1,5 +1,5 @@
 /**
- * Keeps what is published in step with the platform's store: reads everything once, then watches.
+ * Keeps the published state in sync with the platform's store: reads all items once, then watches for changes.
  */
 package lagoonrudder.daemon.direct
 
@@ -21,61 +21,64 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** [isNeeded] tells whether the store is to be asked now; [onChange] runs on the control thread after each answer. */
+/**
+ * Runs the reads and watches of the store while [isNeeded] returns true. [onChange] runs on the control thread after each
+ * response.
+ */
 class StoreSyncLoop(
     private val core: DirectCore,
     private val isNeeded: suspend () -> Boolean,
     private val onChange: () -> Unit,
 ) {
     private val store = StoreClient(core.http, core.settings.store)
-    private var waiting: Job? = null
-    private var hurried = false
-    private var readAll = true
+    private var pendingRequest: Job? = null
+    private var retryRequested = false
+    private var needsFullRead = true
 
     @Volatile
     private var lostSince: Duration? = null
     private var failures = 0
 
-    /** Asks the store at once instead of going on waiting, for example after a pause. */
+    /** Cancels a pending watch and requests the store at once, for example after a pause of the process. */
     fun retryNow() {
-        hurried = true
-        waiting?.cancel()
+        retryRequested = true
+        pendingRequest?.cancel()
     }
 
     suspend fun run() {
         while (currentCoroutineContext().isActive) {
             if (!isNeeded()) {
-                delay(NOT_NEEDED_PAUSE)
+                delay(NEED_CHECK_INTERVAL)
                 continue
             }
-            val answer = ask() ?: continue
-            when (answer) {
-                is Either.Left -> lost(answer.value)
-                is Either.Right -> regained()
+            val result = readOrWatch() ?: continue
+            when (result) {
+                is Either.Left -> onFailure(result.value)
+                is Either.Right -> onSuccess()
             }
         }
     }
 
-    /** Asks once and takes the answer over; null when the wait was cut short by [retryNow]. */
-    private suspend fun ask(): Either<Failure, Unit>? =
+    /** Sends one read or watch and applies the response; returns null when [retryNow] cancelled it. */
+    private suspend fun readOrWatch(): Either<Failure, Unit>? =
         coroutineScope {
-            val wait = if (hurried || lostSince != null) Duration.ZERO else WATCH_WAIT
-            hurried = false
-            val asking = async { if (readAll) readAll() else watch(wait) }
-            waiting = asking
+            val wait = if (retryRequested || lostSince != null) Duration.ZERO else WATCH_TIMEOUT
+            retryRequested = false
+            val request = async { if (needsFullRead) readAll() else watch(wait) }
+            pendingRequest = request
             try {
-                asking.await()
-            } catch (cut: CancellationException) {
+                request.await()
+            } catch (cancelled: CancellationException) {
                 currentCoroutineContext().ensureActive()
                 null
             }
         }
 
     private suspend fun readAll(): Either<Failure, Unit> =
-        store.readAll().map { answer ->
-            val items = answer.items.map { readItem(it) }
-            readAll = false
-            take { core.publication.takeWhole(items, answer.at, core.clock.elapsed()) }
+        store.readAll().map { response ->
+            val items = response.items.map { readItem(it) }
+            needsFullRead = false
+            applyUpdate { core.publication.takeWhole(items, response.at, core.clock.elapsed()) }
         }
 
     private suspend fun watch(wait: Duration): Either<Failure, Unit> {
@@ -84,22 +87,22 @@
             when (watched) {
                 is StoreWatch.Changes -> {
                     val items = watched.answer.items.map { readItem(it) }
-                    take { core.publication.take(items, watched.answer.at, core.clock.elapsed()) }
+                    applyUpdate { core.publication.take(items, watched.answer.at, core.clock.elapsed()) }
                 }
                 StoreWatch.HistoryLost -> {
                     core.log.warning("store-history-lost", "after" to after)
-                    readAll = true
+                    needsFullRead = true
                 }
             }
         }
     }
 
-    private suspend fun take(action: () -> PublicationChange) {
-        val (change, at) = core.thread.decide { action().also { onChange() } to core.publication.at }
+    private suspend fun applyUpdate(update: () -> PublicationChange) {
+        val (change, at) = core.thread.decide { update().also { onChange() } to core.publication.at }
         core.logChange(change, "store", at)
     }
 
-    private suspend fun lost(failure: Failure) {
+    private suspend fun onFailure(failure: Failure) {
         val now = core.clock.elapsed()
         if (lostSince == null) {
             lostSince = now
@@ -107,25 +110,28 @@
         }
         core.http.forget(core.settings.store)
         failures++
-        delay((FIRST_PAUSE * failures).coerceAtMost(LONGEST_PAUSE))
+        delay((INITIAL_RETRY_DELAY * failures).coerceAtMost(MAX_RETRY_DELAY))
     }
 
-    private suspend fun regained() {
+    private suspend fun onSuccess() {
         val since = lostSince ?: return
-        val away = core.clock.elapsed() - since
+        val outage = core.clock.elapsed() - since
         lostSince = null
         failures = 0
-        core.log.info("store-regained", "away" to away)
+        core.log.info("store-regained", "away" to outage)
     }
 
-    /** Whether the last answer was a failure; the control thread reads it to hold lapsed entries. */
+    /** Whether the last request failed. The control thread reads this to keep back ends whose entries have expired. */
     val isLost: Boolean get() = lostSince != null
 
     private companion object {
-        /** A change comes at once; the wait only bounds how long a dead connection goes unnoticed when no peer is ahead. */
-        val WATCH_WAIT = 8.seconds
-        val NOT_NEEDED_PAUSE = 300.milliseconds
-        val FIRST_PAUSE = 150.milliseconds
-        val LONGEST_PAUSE = 400.milliseconds
+        /**
+         * The store sends a change at once; this only bounds how long a dead connection goes unnoticed while no peer has
+         * newer items.
+         */
+        val WATCH_TIMEOUT = 8.seconds
+        val NEED_CHECK_INTERVAL = 300.milliseconds
+        val INITIAL_RETRY_DELAY = 150.milliseconds
+        val MAX_RETRY_DELAY = 400.milliseconds
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/WeightFetcher.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/WeightFetcher.kt
@@ -1,5 +1,6 @@
 /**
- * Draws manifests and pieces from a list of sources, the next one where one fails, and checks what comes.
+ * Fetches manifests and chunks of weights from a list of sources, falling back to the next source on a failure, and
+ * verifies chunks against their digests.
  */
 package lagoonrudder.daemon.direct
 
@@ -27,50 +28,50 @@
         model: ModelId,
         number: WeightNumber?,
     ): Either<Failure, WeightManifest> =
-        first(sources, "manifest ${model.text}") { source ->
+        fetchFromFirst(sources, "manifest ${model.text}") { source ->
             when (source) {
                 is PieceSource.Entry -> peers.manifest(source.address, model, number)
                 is PieceSource.Origin -> OriginCalls(core.http, source.address).manifest(model, number)
             }
         }
 
-    suspend fun piece(
+    suspend fun chunk(
         sources: List<PieceSource>,
         manifest: WeightManifest,
         index: Int,
     ): Either<Failure, ByteArray> =
-        first(sources, "piece $index of ${manifest.number.number}") { source ->
-            val drawn =
+        fetchFromFirst(sources, "chunk $index of ${manifest.number.number}") { source ->
+            val fetched =
                 when (source) {
-                    is PieceSource.Entry -> peers.piece(source.address, manifest.model, manifest.number, index)
+                    is PieceSource.Entry -> peers.chunk(source.address, manifest.model, manifest.number, index)
                     is PieceSource.Origin ->
                         OriginCalls(core.http, source.address).piece(manifest.model, manifest.number, index)
                 }
-            drawn.flatMap { bytes ->
-                val sound = digestOf(bytes) == manifest.digests[index]
-                if (sound) {
+            fetched.flatMap { bytes ->
+                val matches = digestOf(bytes) == manifest.digests[index]
+                if (matches) {
                     bytes.right()
                 } else {
                     Failure
                         .Damaged(
                             Step.VERIFY_CHUNK,
                             peerOf(source),
-                            "piece $index of ${manifest.number.number}",
+                            "chunk $index of ${manifest.number.number} does not match its digest",
                         ).left()
                 }
             }
         }
 
-    private suspend fun <T> first(
+    private suspend fun <T> fetchFromFirst(
         sources: List<PieceSource>,
         what: String,
-        draw: suspend (PieceSource) -> Either<Failure, T>,
+        fetch: suspend (PieceSource) -> Either<Failure, T>,
     ): Either<Failure, T> {
         var failure: Failure = Failure.Unreachable(Step.DRAW_CHUNK, Peer.SELF, "no source for $what")
         for (source in sources) {
-            when (val drawn = draw(source)) {
-                is Either.Right -> return drawn
-                is Either.Left -> failure = drawn.value
+            when (val fetched = fetch(source)) {
+                is Either.Right -> return fetched
+                is Either.Left -> failure = fetched.value
             }
             core.log.failure("draw-failed", failure, "what" to what)
         }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/entry/EntryDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/entry/EntryDaemon.kt
@@ -1,5 +1,5 @@
 /**
- * The daemon between callers and targets.
+ * The entry daemon, which accepts requests from callers and sends them to targets.
  */
 package lagoonrudder.daemon.entry
 
@@ -59,16 +59,16 @@
         )
     private val reports = TargetReportLoop(core, control)
     private val configuration = ConfigurationSyncLoop(core) { onConfigurationChanged() }
-    private val front = CallerServer(core, FilterChain(filters()), uploads, checkNotNull(settings.listen.callers))
+    private val callerServer = CallerServer(core, FilterChain(filters()), uploads, checkNotNull(settings.listen.callers))
     private val operators = OperatorServer(core, this)
     private var rpcServer: RpcServer? = null
 
     override suspend fun start(): DaemonAddresses {
         val rpc = RpcServer.start(settings.listen.rpc, core.scope.coroutineContext, PeerRpcHandler(configuration), null)
         rpcServer = rpc
-        val addresses = DaemonAddresses(Address(settings.listen.rpc.host, rpc.port), front.start(), operators.start())
+        val addresses = DaemonAddresses(Address(settings.listen.rpc.host, rpc.port), callerServer.start(), operators.start())
         configuration.start()
-        core.scope.launch { tick() }
+        core.scope.launch { runTicks() }
         core.log.info(
             "started",
             "role" to "entry",
@@ -89,9 +89,9 @@
 
     override fun close() {
         rpcServer?.close()
-        core.scope.launch { front.close() }
+        core.scope.launch { callerServer.close() }
         operators.close()
-        front.close()
+        callerServer.close()
         core.close()
     }
 
@@ -110,33 +110,33 @@
         reports.updateSubscriptions()
     }
 
-    private suspend fun tick() {
+    private suspend fun runTicks() {
         while (core.scope.isActive) {
             val paused =
                 core.thread.decide {
                     control.tick()
-                    control.wasPaused(CONFIRM_LIMIT)
+                    control.wasPaused(CONFIRM_TIMEOUT)
                 }
             if (paused) core.scope.launch { confirmAfterPause() }
-            delay(TICK)
+            delay(TICK_INTERVAL)
         }
     }
 
     private suspend fun confirmAfterPause() {
         core.log.warning("paused", "action" to "confirm-configuration")
-        configuration.confirm(CONFIRM_LIMIT)
+        configuration.confirm(CONFIRM_TIMEOUT)
     }
 
     private fun filters() =
         entryFilters(
-            account = AccountFilter(control, core.clock, ::ended),
+            account = AccountFilter(control, core.clock, ::recordRequestEnd),
             identify = IdentifyFilter(control, core.clock, CompletionDecoder) { RequestId(UUID.randomUUID().toString()) },
             admit = AdmitFilter(control),
             relay = RelayFilter(control, core.clock, core.invariants),
             send = SendFilter(control, core.rpc, core.clock, core.options.send),
         )
 
-    private fun ended(
+    private fun recordRequestEnd(
         call: EntryCall,
         outcome: Outcome,
         took: Duration,
@@ -163,7 +163,7 @@
         }
 
     private companion object {
-        val TICK = 100.milliseconds
-        val CONFIRM_LIMIT = 1.seconds
+        val TICK_INTERVAL = 100.milliseconds
+        val CONFIRM_TIMEOUT = 1.seconds
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/entry/TargetReportLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/entry/TargetReportLoop.kt
@@ -1,7 +1,8 @@
 /**
  * Keeps one stream of reports open to each target in the subset that this entry daemon may choose from.
  *
- * The reports are heartbeats too: a stream that breaks or stays silent makes its target unknown until it reports again.
+ * Reports also serve as heartbeats: when a stream breaks or receives nothing in time, the state of its target is unknown
+ * until the next report.
  */
 package lagoonrudder.daemon.entry
 
@@ -35,7 +36,7 @@
 
     private val streams = mutableMapOf<TargetId, Stream>()
 
-    /** Opens and closes streams so that they match the subset; runs on the control thread. */
+    /** Opens and closes streams so that they match the subset. Runs on the control thread. */
     fun updateSubscriptions() {
         val daemons = control.membership.targetDaemons()
         val wanted =
@@ -43,9 +44,9 @@
                 .subset()
                 .mapNotNull { target -> daemons[target.id]?.let { target.id to it } }
                 .toMap()
-        val gone = streams.filter { (target, stream) -> wanted[target] != stream.instance }.keys.toList()
-        gone.forEach { streams.remove(it)?.job?.cancel() }
-        for ((target, instance) in wanted) streams.getOrPut(target) { Stream(instance, core.scope.launch { follow(target, instance) }) }
+        val obsolete = streams.filter { (target, stream) -> wanted[target] != stream.instance }.keys.toList()
+        obsolete.forEach { streams.remove(it)?.job?.cancel() }
+        for ((target, instance) in wanted) streams.getOrPut(target) { Stream(instance, core.scope.launch { keepOpen(target, instance) }) }
         core.rpc.retain(
             control.membership
                 .instances()
@@ -54,31 +55,31 @@
         )
     }
 
-    private suspend fun follow(
+    private suspend fun keepOpen(
         target: TargetId,
         instance: Instance,
     ) {
         while (core.scope.isActive) {
-            read(target, instance)
+            readStream(target, instance)
             core.thread.decide { control.unlinked(target) }
-            delay(RECONNECT_PAUSE)
+            delay(RECONNECT_DELAY)
         }
     }
 
-    private suspend fun read(
+    private suspend fun readStream(
         target: TargetId,
         instance: Instance,
     ) {
         val peer = Peer(PeerRole.TARGET, instance.address.toString())
         core.rpc
             .reports(instance)
-            .withProgressLimits(LIMITS, Step.CHOOSE_TARGET, peer)
+            .withProgressLimits(REPORT_TIMEOUTS, Step.CHOOSE_TARGET, peer)
             .takeWhile { event ->
-                event.fold({ lost(instance, it) }, { taken(target, instance, it) })
+                event.fold({ onStreamFailed(instance, it) }, { onReport(target, instance, it) })
             }.collect { }
     }
 
-    private suspend fun lost(
+    private suspend fun onStreamFailed(
         instance: Instance,
         failure: Failure,
     ): Boolean {
@@ -88,7 +89,7 @@
         return false
     }
 
-    private suspend fun taken(
+    private suspend fun onReport(
         target: TargetId,
         instance: Instance,
         report: TargetReport,
@@ -102,7 +103,7 @@
     }
 
     private companion object {
-        val LIMITS = ProgressLimits(first = 2.seconds, next = 2.seconds)
-        val RECONNECT_PAUSE = 200.milliseconds
+        val REPORT_TIMEOUTS = ProgressLimits(first = 2.seconds, next = 2.seconds)
+        val RECONNECT_DELAY = 200.milliseconds
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/front/CallerServer.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/front/CallerServer.kt
@@ -1,8 +1,9 @@
 /**
- * The HTTP front for callers: reads a request, runs it through the filters, and writes what comes of it.
+ * The HTTP server for callers: reads a request, runs it through the filter chain, and writes the response.
  *
- * A body is read within a bounded time and memory before the request is let in. An answer that breaks after its start
- * ends without the end of its chunked body, so that no caller can take it for whole.
+ * The time and memory for reading a body are bounded, and the body is read before the request enters the filter chain. A
+ * response that fails after its start is cut off without the last chunk of its body, so that no caller can take it for
+ * complete.
  */
 package lagoonrudder.daemon.front
 
@@ -61,29 +62,29 @@
         }
 
     private fun CIOApplicationEngine.Configuration.listen() {
-        connectionIdleTimeoutSeconds = IDLE_SECONDS
+        connectionIdleTimeoutSeconds = IDLE_TIMEOUT_SECONDS
         connector {
             host = address.host
             port = address.port
         }
     }
 
-    /** Starts the server and returns the address it got. */
+    /** Starts the server and returns the address to which it is bound. */
     suspend fun start(): Address = server.startOn(address)
 
     override fun close() {
-        server.stop(GRACE_MILLISECONDS, GRACE_MILLISECONDS)
+        server.stop(SHUTDOWN_GRACE_MILLISECONDS, SHUTDOWN_GRACE_MILLISECONDS)
     }
 
     private suspend fun handle(call: ApplicationCall) {
-        val length = call.request.contentLength() ?: LARGEST_BODY
-        val fits = length <= LARGEST_BODY && core.thread.decide { uploads.open(length) }
-        if (!fits) return respond(call, refused(if (length > LARGEST_BODY) TOO_LARGE else Refusal.Overloaded(RETRY)))
+        val length = call.request.contentLength() ?: MAX_BODY_BYTES
+        val fits = length <= MAX_BODY_BYTES && core.thread.decide { uploads.open(length) }
+        if (!fits) return respond(call, refused(if (length > MAX_BODY_BYTES) BODY_TOO_LARGE else Refusal.Overloaded(RETRY_AFTER)))
         try {
-            val body = withTimeoutOrNull(UPLOAD_LIMIT) { call.receiveChannel().readRemaining(LARGEST_BODY + 1).readByteArray() }
+            val body = withTimeoutOrNull(UPLOAD_TIMEOUT) { call.receiveChannel().readRemaining(MAX_BODY_BYTES + 1).readByteArray() }
             when {
-                body == null -> respond(call, refused(Refusal.Invalid("a whole body within $UPLOAD_LIMIT")))
-                body.size > LARGEST_BODY -> respond(call, refused(TOO_LARGE))
+                body == null -> respond(call, refused(Refusal.Invalid("a complete body within $UPLOAD_TIMEOUT")))
+                body.size > MAX_BODY_BYTES -> respond(call, refused(BODY_TOO_LARGE))
                 else -> run(call, requestOf(call, body))
             }
         } finally {
@@ -123,7 +124,7 @@
                 .header(HttpHeaders.Authorization)
                 .orEmpty()
                 .removePrefix("Bearer "),
-        key = call.request.header(KEY_HEADER)?.let(::RepeatKey),
+        key = call.request.header(IDEMPOTENCY_KEY_HEADER)?.let(::RepeatKey),
         contentType = call.request.header(HttpHeaders.ContentType).orEmpty(),
         body = body,
     )
@@ -183,13 +184,13 @@
     private fun seconds(duration: Duration): Long = duration.toLong(DurationUnit.SECONDS).coerceAtLeast(1)
 
     private companion object {
-        const val KEY_HEADER = "Idempotency-Key"
+        const val IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
         const val VERSION_HEADER = "Model-Version"
-        const val LARGEST_BODY = 4_000_000L
-        const val IDLE_SECONDS = 600
-        const val GRACE_MILLISECONDS = 100L
-        val UPLOAD_LIMIT = 20.seconds
-        val RETRY = 1.seconds
-        val TOO_LARGE = Refusal.Invalid("a body of at most $LARGEST_BODY bytes")
+        const val MAX_BODY_BYTES = 4_000_000L
+        const val IDLE_TIMEOUT_SECONDS = 600
+        const val SHUTDOWN_GRACE_MILLISECONDS = 100L
+        val UPLOAD_TIMEOUT = 20.seconds
+        val RETRY_AFTER = 1.seconds
+        val BODY_TOO_LARGE = Refusal.Invalid("a body of at most $MAX_BODY_BYTES bytes")
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/front/GenerationJson.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/front/GenerationJson.kt
@@ -1,5 +1,5 @@
 /**
- * The JSON of callers: requests for text, and the events of their answers.
+ * JSON messages exchanged with callers: completion requests and the events of their responses.
  */
 package lagoonrudder.daemon.front
 
@@ -34,7 +34,7 @@
     val version: String,
 )
 
-/** An answer that is not the answer to the request: a refusal or an unknown outcome. */
+/** The body of an error response, which reports a refusal or an unknown outcome. */
 @Serializable
 data class ProblemJson(
     val outcome: String,
@@ -44,22 +44,22 @@
     val detail: String,
 )
 
-private const val LARGEST_TOKENS = 1_000_000
+private const val MAX_TOKENS_LIMIT = 1_000_000
 
-/** Reads the body of a completion request. */
+/** Decodes the body of a completion request. */
 object CompletionDecoder : GenerationDecoder {
     override fun decode(body: ByteArray): Either<Refusal.Invalid, Work.Generate> {
         val request =
             try {
                 callerJson.decodeFromString(CompletionRequestJson.serializer(), body.decodeToString(throwOnInvalidSequence = true))
             } catch (_: SerializationException) {
-                return expected().left()
+                return invalidRequest().left()
             } catch (_: CharacterCodingException) {
-                return expected().left()
+                return invalidRequest().left()
             }
-        if (request.maximumTokens !in 1..LARGEST_TOKENS) return expected().left()
+        if (request.maximumTokens !in 1..MAX_TOKENS_LIMIT) return invalidRequest().left()
         return Work.Generate(request.prompt, request.maximumTokens).right()
     }
 
-    private fun expected() = Refusal.Invalid("a JSON object with prompt (text) and max_tokens (1 to $LARGEST_TOKENS)")
+    private fun invalidRequest() = Refusal.Invalid("a JSON object with prompt (text) and max_tokens (1 to $MAX_TOKENS_LIMIT)")
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/front/HttpResponseSink.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/front/HttpResponseSink.kt
@@ -1,5 +1,5 @@
 /**
- * The way back to a caller over HTTP: text as server-sent events, anything else as it is.
+ * Writes the response to a caller over HTTP: generated text as server-sent events, any other body unchanged.
  */
 package lagoonrudder.daemon.front
 
@@ -16,25 +16,25 @@
 import java.nio.CharBuffer
 import java.nio.charset.CharsetDecoder
 
-/** The status line of an answer that has begun. */
+/** Status and headers of a response that has started. */
 data class ResponseStart(
     val status: Int,
     val contentType: String,
     val version: VersionId?,
 )
 
-/** The answer broke after its start; thrown to make the server close the connection. */
+/** Thrown when a response failed after its start, to make the server close the connection without ending the body. */
 class ResponseBrokenException(
     failure: Failure,
 ) : IOException(failure.describe())
 
 class HttpResponseSink : AnswerSink {
-    /** Completed when the answer begins. */
+    /** Completed when the response starts. */
     val started = CompletableDeferred<ResponseStart>()
     private val channel = CompletableDeferred<ByteWriteChannel>()
-    private val text = Utf8StreamDecoder()
+    private val decoder = Utf8StreamDecoder()
 
-    /** Gives the sink the body to write to, once the status line is out. */
+    /** Sets the channel of the body, after the status line and headers were sent. */
     fun attach(body: ByteWriteChannel) {
         channel.complete(body)
     }
@@ -64,9 +64,9 @@
     override suspend fun abort(failure: Failure) = Unit
 
     private suspend fun sendText(data: ByteArray) {
-        val piece = text.decode(data)
-        if (piece.isEmpty()) return
-        val json = callerJson.encodeToString(CompletionTextJson.serializer(), CompletionTextJson(piece))
+        val text = decoder.decode(data)
+        if (text.isEmpty()) return
+        val json = callerJson.encodeToString(CompletionTextJson.serializer(), CompletionTextJson(text))
         send("data: $json\n\n".encodeToByteArray())
     }
 
@@ -83,16 +83,16 @@
     }
 }
 
-/** Decodes UTF-8 that arrives in pieces which may end inside a character. */
+/** Decodes UTF-8 from a stream of byte arrays, each of which may end inside a character. */
 internal class Utf8StreamDecoder {
     private val decoder: CharsetDecoder = Charsets.UTF_8.newDecoder()
-    private var rest = ByteArray(0)
+    private var undecoded = ByteArray(0)
 
     fun decode(data: ByteArray): String {
-        val input = ByteBuffer.wrap(rest + data)
+        val input = ByteBuffer.wrap(undecoded + data)
         val output = CharBuffer.allocate(input.remaining())
         decoder.decode(input, output, false)
-        rest = ByteArray(input.remaining()).also { input.get(it) }
+        undecoded = ByteArray(input.remaining()).also { input.get(it) }
         return output.flip().toString()
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/observe/DaemonMetrics.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/observe/DaemonMetrics.kt
@@ -1,5 +1,5 @@
 /**
- * The metrics of a daemon, by Micrometer, in the Prometheus text format.
+ * The metrics of a daemon, recorded with Micrometer and rendered in the Prometheus text format.
  */
 package lagoonrudder.daemon.observe
 
@@ -36,20 +36,20 @@
 
     fun recordRequest(
         outcome: Outcome,
-        took: Duration,
+        duration: Duration,
     ) {
-        requestTimer(outcome.code).record(took.toJavaDuration())
+        requestTimer(outcome.code).record(duration.toJavaDuration())
     }
 
-    /** The caller left before there was an outcome. */
-    fun recordCallerDisconnect(took: Duration) = requestTimer("caller-left").record(took.toJavaDuration())
+    /** Records a request whose caller disconnected before there was an outcome. */
+    fun recordCallerDisconnect(duration: Duration) = requestTimer("caller-left").record(duration.toJavaDuration())
 
-    fun recordFirstEvent(after: Duration) =
+    fun recordFirstEvent(latency: Duration) =
         Timer
             .builder("lagoonrudder.first.event")
             .serviceLevelObjectives(*LATENCY_BUCKETS)
             .register(registry)
-            .record(after.toJavaDuration())
+            .record(latency.toJavaDuration())
 
     private fun requestTimer(outcome: String): Timer =
         Timer
@@ -66,7 +66,7 @@
     fun render(): String = registry.scrape()
 
     private companion object {
-        /** Around the objectives of requests, from a plain call to a stream under overload. */
+        /** Chosen around the latency objectives of requests, from a plain call to a stream under overload. */
         val LATENCY_BUCKETS = listOf(50L, 100, 200, 300, 400, 800, 1_600, 3_200).map { it.milliseconds.toJavaDuration() }.toTypedArray()
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/observe/EventLog.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/observe/EventLog.kt
@@ -1,5 +1,5 @@
 /**
- * The log of a daemon: one line of key=value pairs for each event.
+ * The log of a daemon, with one line of key=value pairs per event.
  */
 package lagoonrudder.daemon.observe
 
@@ -38,8 +38,8 @@
         arrayOf("step" to failure.step.name.lowercase(), "peer" to failure.peer, "detail" to failure.detail, *fields),
     )
 
-    /** Logs that the program broke an invariant of its own. */
-    fun invariantViolated(violation: Violation) =
+    /** Logs a violation of an internal invariant. */
+    fun invariantViolation(violation: Violation) =
         error(
             "invariant-violated",
             "invariant" to violation.invariant.name.lowercase(),
@@ -63,7 +63,7 @@
 
     private fun quoted(value: Any?): String {
         val text = value.toString().replace('\n', ' ')
-        val plain = text.isNotEmpty() && text.none { it == ' ' || it == '"' || it == '=' }
-        return if (plain) text else "\"${text.replace("\"", "'")}\""
+        val needsNoQuotes = text.isNotEmpty() && text.none { it == ' ' || it == '"' || it == '=' }
+        return if (needsNoQuotes) text else "\"${text.replace("\"", "'")}\""
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/operators/OperatorServer.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/operators/OperatorServer.kt
@@ -1,5 +1,6 @@
 /**
- * The HTTP end for operators and the platform: health, readiness, metrics, status and the dump of every controller.
+ * The HTTP server for operators and the platform: health, readiness, metrics, status and the state dump of every
+ * controller.
  */
 package lagoonrudder.daemon.operators
 
@@ -18,12 +19,12 @@
 import lagoonrudder.daemon.startOn
 import lagoonrudder.model.Address
 
-/** What the daemon shows of itself; every function runs on the control thread. */
+/** State that a daemon exposes to operators. Every function runs on the control thread. */
 interface DaemonDiagnostics {
-    /** Whether the daemon takes new work. */
+    /** Whether the daemon accepts new requests. */
     fun ready(): Boolean
 
-    /** A few key=value pairs on one line. */
+    /** Returns a summary as key=value pairs on one line. */
     fun status(): String
 
     fun dump(): List<DumpSection>
@@ -31,33 +32,33 @@
 
 class OperatorServer(
     private val core: DaemonCore,
-    private val view: DaemonDiagnostics,
+    private val diagnostics: DaemonDiagnostics,
 ) : AutoCloseable {
     private val address = core.settings.listen.operators
     private val server = embeddedServer(CIO, port = address.port, host = address.host) { routing { routes() } }
 
-    /** Starts the server and returns the address it got. */
+    /** Starts the server and returns the address to which it is bound. */
     suspend fun start(): Address = server.startOn(address)
 
     override fun close() {
-        server.stop(GRACE_MILLISECONDS, GRACE_MILLISECONDS)
+        server.stop(SHUTDOWN_GRACE_MILLISECONDS, SHUTDOWN_GRACE_MILLISECONDS)
     }
 
     private fun Route.routes() {
         get("/health") { call.respondText("ok\n") }
         get("/ready") { respondReady(call) }
         get("/metrics") { call.respondText(core.metrics.render()) }
-        get("/status") { call.respondText(core.thread.decide { view.status() } + "\n") }
-        get("/dump") { call.respondText(renderDump(core.thread.decide { view.dump() }), ContentType.Text.Plain) }
+        get("/status") { call.respondText(core.thread.decide { diagnostics.status() } + "\n") }
+        get("/dump") { call.respondText(renderDump(core.thread.decide { diagnostics.dump() }), ContentType.Text.Plain) }
     }
 
     private suspend fun respondReady(call: ApplicationCall) {
-        val ready = core.thread.decide { view.ready() }
+        val ready = core.thread.decide { diagnostics.ready() }
         val status = if (ready) HttpStatusCode.OK else HttpStatusCode.ServiceUnavailable
         call.respondText(if (ready) "ready\n" else "not ready\n", status = status)
     }
 
     private companion object {
-        const val GRACE_MILLISECONDS = 100L
+        const val SHUTDOWN_GRACE_MILLISECONDS = 100L
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/platform/ConfigurationService.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/platform/ConfigurationService.kt
@@ -1,5 +1,5 @@
 /**
- * The platform's configuration service and its list of instances, which can be read and watched and nothing else.
+ * Client for the platform's configuration service and its list of instances, both of which are read-only.
  */
 package lagoonrudder.daemon.platform
 
@@ -21,7 +21,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** A value and the service's own generation of it. */
+/** A value and the generation that the service assigned to it. */
 data class PlatformValue<T>(
     val generation: Long,
     val value: T,
@@ -33,45 +33,45 @@
 ) {
     val peer = Peer(PeerRole.PLATFORM, address.toString())
 
-    /** The head, or null when nothing was published. */
-    suspend fun head(limit: Duration): Either<Failure, PlatformValue<String>?> = value(HEAD_KEY, "", limit)
+    /** Returns the head document, or null when none was published. */
+    suspend fun head(timeout: Duration): Either<Failure, PlatformValue<String>?> = value(HEAD_KEY, "", timeout)
 
-    /** Waits up to [wait] for a head newer than [after]; null when there was none. */
+    /** Waits up to [wait] for a head newer than generation [after]; returns null when there was none. */
     suspend fun watchHead(
         after: Long,
         wait: Duration,
-    ): Either<Failure, PlatformValue<String>?> = value(HEAD_KEY, waitQuery(after, wait), wait + WAIT_MARGIN)
+    ): Either<Failure, PlatformValue<String>?> = value(HEAD_KEY, waitQuery(after, wait), wait + RESPONSE_MARGIN)
 
     suspend fun part(
         digest: Digest,
-        limit: Duration,
+        timeout: Duration,
     ): Either<Failure, String> =
-        value(partKey(digest), "", limit).flatMap {
-            it?.value?.right() ?: Failure.Declined(Step.READ_PLATFORM, peer, "no part ${digest.hexadecimal}").left()
+        value(partKey(digest), "", timeout).flatMap {
+            it?.value?.right() ?: Failure.Declined(Step.READ_PLATFORM, peer, "part ${digest.hexadecimal} not found").left()
         }
 
-    /** Waits up to [wait] for a list newer than [after]; null when there was none. */
+    /** Waits up to [wait] for a list of instances newer than generation [after]; returns null when there was none. */
     suspend fun watchInstances(
         after: Long,
         wait: Duration,
     ): Either<Failure, PlatformValue<List<Instance>>?> =
-        read("instances${waitQuery(after, wait)}", wait + WAIT_MARGIN).flatMap { answer ->
-            if (answer == null) return@flatMap null.right()
-            readInstances(answer.bytes.decodeToString(), peer).map { PlatformValue(answer.generation, it) }
+        read("instances${waitQuery(after, wait)}", wait + RESPONSE_MARGIN).flatMap { response ->
+            if (response == null) return@flatMap null.right()
+            readInstances(response.bytes.decodeToString(), peer).map { PlatformValue(response.generation, it) }
         }
 
     private suspend fun value(
         key: String,
         query: String,
-        limit: Duration,
+        timeout: Duration,
     ): Either<Failure, PlatformValue<String>?> =
-        read("values/$key$query", limit).map { answer -> answer?.let { PlatformValue(it.generation, it.bytes.decodeToString()) } }
+        read("values/$key$query", timeout).map { response -> response?.let { PlatformValue(it.generation, it.bytes.decodeToString()) } }
 
     private suspend fun read(
         path: String,
-        limit: Duration,
+        timeout: Duration,
     ): Either<Failure, PlatformResponse?> =
-        client.read("http://$address/v1/$path", Step.READ_PLATFORM, peer, limit).map { answer -> answer.takeIf { it.status == OK } }
+        client.read("http://$address/v1/$path", Step.READ_PLATFORM, peer, timeout).map { response -> response.takeIf { it.status == OK } }
 
     private fun waitQuery(
         after: Long,
@@ -80,6 +80,6 @@
 
     private companion object {
         const val OK = 200
-        val WAIT_MARGIN = 3.seconds
+        val RESPONSE_MARGIN = 3.seconds
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/platform/HttpRead.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/platform/HttpRead.kt
@@ -1,5 +1,5 @@
 /**
- * Reading from the platform over HTTP, with errors that name the step and the peer.
+ * HTTP requests to the platform. Failures name the step and the peer.
  */
 package lagoonrudder.daemon.platform
 
@@ -20,20 +20,20 @@
 import java.net.ConnectException
 import kotlin.time.Duration
 
-private const val CONNECTIONS = 10_000
+private const val MAX_CONNECTIONS = 10_000
 
-/** An HTTP client without limits of its own on time; every use passes one. */
+/** Creates an HTTP client without time-outs of its own; every call passes one. */
 fun httpClient(): HttpClient =
     HttpClient(CIO) {
         expectSuccess = false
         engine {
             requestTimeout = 0
-            maxConnectionsCount = CONNECTIONS
-            endpoint.maxConnectionsPerRoute = CONNECTIONS
+            maxConnectionsCount = MAX_CONNECTIONS
+            endpoint.maxConnectionsPerRoute = MAX_CONNECTIONS
         }
     }
 
-/** What the platform answered; [generation] is zero where it names none. */
+/** A response of the platform; [generation] is zero when the response names none. */
 class PlatformResponse(
     val status: Int,
     val generation: Long,
@@ -42,37 +42,37 @@
 
 private const val GENERATION_HEADER = "Generation"
 
-/** Reads [url]; statuses other than 200, 204 and 404 are failures. */
+/** Sends a GET request to [url]; statuses other than 200, 204 and 404 are failures. */
 internal suspend fun HttpClient.read(
     url: String,
     step: Step,
     peer: Peer,
-    limit: Duration,
+    timeout: Duration,
 ): Either<Failure, PlatformResponse> =
-    callWithTimeout(step, peer, limit) {
-        prepareGet(url).execute { response -> answerOf(response, step, peer) }
+    callWithTimeout(step, peer, timeout) {
+        prepareGet(url).execute { response -> toPlatformResponse(response, step, peer) }
     }
 
-private suspend fun answerOf(
+private suspend fun toPlatformResponse(
     response: HttpResponse,
     step: Step,
     peer: Peer,
 ): Either<Failure, PlatformResponse> {
     val expected = listOf(HttpStatusCode.OK, HttpStatusCode.NoContent, HttpStatusCode.NotFound)
-    if (response.status !in expected) return Failure.Declined(step, peer, "status ${response.status.value}").left()
+    if (response.status !in expected) return Failure.Declined(step, peer, "unexpected status ${response.status.value}").left()
     val generation = response.headers[GENERATION_HEADER]?.toLongOrNull() ?: 0
     return PlatformResponse(response.status.value, generation, response.readRawBytes()).right()
 }
 
-/** Runs [block] within [limit] and turns what it throws into a failure. */
+/** Runs [block] with [timeout] and converts exceptions into failures. */
 internal suspend fun <T> callWithTimeout(
     step: Step,
     peer: Peer,
-    limit: Duration,
+    timeout: Duration,
     block: suspend () -> Either<Failure, T>,
 ): Either<Failure, T> =
     try {
-        withTimeoutOrNull(limit) { block() } ?: Failure.TimedOut(step, peer, limit).left()
+        withTimeoutOrNull(timeout) { block() } ?: Failure.TimedOut(step, peer, timeout).left()
     } catch (cancelled: CancellationException) {
         throw cancelled
     } catch (
@@ -81,7 +81,7 @@
         transportFailure(error, step, peer).left()
     }
 
-/** Only an error that arose while the connection was being opened proves that nothing was sent. */
+/** Classifies [error]: only an error while the connection was being opened proves that nothing was sent. */
 internal fun transportFailure(
     error: Throwable,
     step: Step,
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/platform/WeightOrigin.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/platform/WeightOrigin.kt
@@ -1,5 +1,5 @@
 /**
- * The origin of weights: manifests by digest, and chunks by version and place.
+ * Client for the origin of weights, which serves manifests by digest, and chunks by version and index.
  */
 package lagoonrudder.daemon.platform
 
@@ -24,25 +24,25 @@
 ) {
     val peer = Peer(PeerRole.ORIGIN, address.toString())
 
-    /** The bytes of a manifest; the caller verifies them. */
+    /** Reads a manifest. The caller must verify its digest. */
     suspend fun manifest(
         digest: Digest,
-        limit: Duration,
-    ): Either<Failure, ByteArray> = bytes("manifests/${digest.hexadecimal}", limit)
+        timeout: Duration,
+    ): Either<Failure, ByteArray> = bytes("manifests/${digest.hexadecimal}", timeout)
 
-    /** The bytes of a chunk; the caller verifies them. */
+    /** Reads a chunk. The caller must verify its digest. */
     suspend fun chunk(
         version: VersionId,
         chunk: ChunkIndex,
-        limit: Duration,
-    ): Either<Failure, ByteArray> = bytes("versions/${version.text}/chunks/${chunk.number}", limit)
+        timeout: Duration,
+    ): Either<Failure, ByteArray> = bytes("versions/${version.text}/chunks/${chunk.number}", timeout)
 
     private suspend fun bytes(
         path: String,
-        limit: Duration,
+        timeout: Duration,
     ): Either<Failure, ByteArray> =
-        client.read("http://$address/v1/$path", Step.DRAW_CHUNK, peer, limit).flatMap { answer ->
-            if (answer.status == OK) answer.bytes.right() else Failure.Declined(Step.DRAW_CHUNK, peer, "status ${answer.status}").left()
+        client.read("http://$address/v1/$path", Step.DRAW_CHUNK, peer, timeout).flatMap { reply ->
+            if (reply.status == OK) reply.bytes.right() else Failure.Declined(Step.DRAW_CHUNK, peer, "status ${reply.status}").left()
         }
 
     private companion object {
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/settings/DaemonSettings.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/settings/DaemonSettings.kt
@@ -25,14 +25,14 @@
 import lagoonrudder.wire.documents.IniSection
 import lagoonrudder.wire.documents.readIni
 
-/** Where the daemon listens. A port of 0 means any free one, which the log names. */
+/** Addresses on which the daemon listens. Port 0 selects any free port, which is logged at start-up. */
 data class ListenSettings(
     val rpc: Address,
     val callers: Address?,
     val operators: Address,
 )
 
-/** Where the platform is. */
+/** Addresses of the platform's configuration service and of the origin of weights. */
 data class PlatformSettings(
     val configuration: Address,
     val origin: Address,
@@ -44,7 +44,7 @@
     val backEnd: Address,
 )
 
-/** What the daemon may hold, in bytes and requests. */
+/** Limits on the requests and bytes that the daemon may hold. */
 data class LimitSettings(
     val queue: QueueBounds,
     val readers: ReaderMemoryPolicy,
@@ -71,7 +71,7 @@
         uploadBytes = 16_000_000,
     )
 
-/** Reads settings from [text]; [file] is named in errors. */
+/** Parses settings from [text]; [file] is the name for error messages. */
 fun readSettings(
     text: String,
     file: String,
@@ -79,8 +79,8 @@
     either {
         val sections = readIni(text, file, Step.READ_SETTINGS).bind().associateBy { it.name }
         val unknown = sections.keys.firstOrNull { it !in SECTIONS }
-        if (unknown != null) raise(missing(file, unknown, "expected one of the sections ${SECTIONS.joinToString(", ")}"))
-        val daemon = sections["daemon"] ?: raise(missing(file, "daemon", "expected this section, found none"))
+        if (unknown != null) raise(malformedSection(file, unknown, "expected one of the sections ${SECTIONS.joinToString(", ")}"))
+        val daemon = sections["daemon"] ?: raise(malformedSection(file, "daemon", "expected this section, found none"))
         val role = with(daemon) { choice("role", DaemonRole.entries) }
         val settings =
             DaemonSettings(
@@ -100,7 +100,7 @@
 private val SECTIONS = listOf("daemon", "listen", "platform", "peers", "slot", "limits")
 private const val ANY_PORT = ":0"
 
-private fun missing(
+private fun malformedSection(
     file: String,
     section: String,
     expected: String,
@@ -110,7 +110,7 @@
     sections: Map<String, IniSection>,
     file: String,
     name: String,
-): IniSection = sections[name] ?: raise(missing(file, name, "expected this section, found none"))
+): IniSection = sections[name] ?: raise(malformedSection(file, name, "expected this section, found none"))
 
 private fun Raise<Failure.Malformed>.readListen(
     section: IniSection,
@@ -163,8 +163,8 @@
     default: Long,
 ): Long {
     val number = with(section) { longOr(key, default) }
-    if (number !in 1..LARGEST_LIMIT) raise(section.malformed(key, "expected a number from 1 to $LARGEST_LIMIT, found $number"))
+    if (number !in 1..MAX_LIMIT) raise(section.malformed(key, "expected a number from 1 to $MAX_LIMIT, found $number"))
     return number
 }
 
-private const val LARGEST_LIMIT = 1_000_000_000_000L
+private const val MAX_LIMIT = 1_000_000_000_000L
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
@@ -1,5 +1,5 @@
 /**
- * The daemon in the slot beside a target instance.
+ * The daemon that runs beside a target instance and controls its engine.
  */
 package lagoonrudder.daemon.target
 
@@ -63,14 +63,14 @@
     private var rpcServer: RpcServer? = null
 
     override suspend fun start(): DaemonAddresses {
-        val end = TargetRpcHandler(control, chain, Reservations(control, core.rpc, core.clock), core.clock)
-        val rpc = RpcServer.start(settings.listen.rpc, core.scope.coroutineContext, PeerRpcHandler(configuration, weights), end)
+        val handler = TargetRpcHandler(control, chain, Reservations(control, core.rpc, core.clock), core.clock)
+        val rpc = RpcServer.start(settings.listen.rpc, core.scope.coroutineContext, PeerRpcHandler(configuration, weights), handler)
         rpcServer = rpc
         val addresses = DaemonAddresses(Address(settings.listen.rpc.host, rpc.port), null, operators.start())
         configuration.start()
         weights.start()
         switch.start()
-        core.scope.launch { tick() }
+        core.scope.launch { runTicks() }
         core.log.info(
             "started",
             "role" to "target",
@@ -89,7 +89,7 @@
         }
         core.service.drained.await()
         rpcServer?.leave()
-        delay(LAST_ANSWERS)
+        delay(RESPONSE_FLUSH_TIME)
         core.log.info("stopped")
         close()
     }
@@ -112,7 +112,7 @@
 
     override fun dump(): List<DumpSection> = control.dump()
 
-    /** Until a set names the region of this daemon's failure domain, the domain stands for it. */
+    /** Uses the failure domain in place of its region until a configuration names the region. */
     private fun self() = Holder(settings.name, settings.domain, RegionId(settings.domain.text))
 
     private fun onConfigurationChanged() {
@@ -121,23 +121,23 @@
         switch.wake()
     }
 
-    private suspend fun tick() {
+    private suspend fun runTicks() {
         while (core.scope.isActive) {
-            val paused = core.thread.decide { control.wasPaused(CONFIRM_LIMIT) }
+            val paused = core.thread.decide { control.wasPaused(CONFIRM_TIMEOUT) }
             if (paused) core.scope.launch { confirmAfterPause() }
-            delay(TICK)
+            delay(TICK_INTERVAL)
         }
     }
 
     private suspend fun confirmAfterPause() {
         core.log.warning("paused", "action" to "confirm-configuration")
-        configuration.confirm(CONFIRM_LIMIT)
+        configuration.confirm(CONFIRM_TIMEOUT)
         core.thread.decide { control.publish() }
     }
 
     private companion object {
-        val TICK = 100.milliseconds
-        val CONFIRM_LIMIT = 1.seconds
-        val LAST_ANSWERS = 100.milliseconds
+        val TICK_INTERVAL = 100.milliseconds
+        val CONFIRM_TIMEOUT = 1.seconds
+        val RESPONSE_FLUSH_TIME = 100.milliseconds
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetRpcHandler.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetRpcHandler.kt
@@ -1,5 +1,5 @@
 /**
- * What a target daemon answers to entry daemons and to other targets.
+ * Handles the RPCs of entry daemons and of other target daemons at a target daemon.
  */
 package lagoonrudder.daemon.target
 
@@ -57,29 +57,31 @@
             while (true) {
                 val sent = control.reported.value
                 emit(sent)
-                delay(SHORTEST_INTERVAL)
-                withTimeoutOrNull(HEARTBEAT - SHORTEST_INTERVAL) { control.reported.first { differs(it, sent) } }
+                delay(MIN_REPORT_INTERVAL)
+                withTimeoutOrNull(HEARTBEAT_INTERVAL - MIN_REPORT_INTERVAL) { control.reported.first { isSignificantChange(it, sent) } }
             }
         }
 
     override suspend fun switchReport(): SwitchReport = control.thread.decide { control.switch.report() }
 
-    /** Whether entry daemons should hear of [now] before the next heartbeat. */
-    private fun differs(
+    /** Whether [now] differs enough from [sent] to be reported before the next heartbeat. */
+    private fun isSignificantChange(
         now: TargetReport,
         sent: TargetReport,
     ): Boolean {
-        val state = now.accepting != sent.accepting || now.version != sent.version
-        val opened = isFull(sent) != isFull(now)
-        val limit = abs(now.room.limit - sent.room.limit) * LIMIT_CHANGE > sent.room.limit
-        return state || opened || limit
+        val stateChanged = now.accepting != sent.accepting || now.version != sent.version
+        val fullnessChanged = isFull(sent) != isFull(now)
+        val limitChanged = abs(now.room.limit - sent.room.limit) * MIN_LIMIT_CHANGE_DIVISOR > sent.room.limit
+        return stateChanged || fullnessChanged || limitChanged
     }
 
     private fun isFull(report: TargetReport) = report.room.inFlight >= report.room.limit
 
     private companion object {
-        val HEARTBEAT = 1.seconds
-        val SHORTEST_INTERVAL = 50.milliseconds
-        const val LIMIT_CHANGE = 4
+        val HEARTBEAT_INTERVAL = 1.seconds
+        val MIN_REPORT_INTERVAL = 50.milliseconds
+
+        /** A change of the limit by more than one part in this many is reported at once. */
+        const val MIN_LIMIT_CHANGE_DIVISOR = 4
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/VersionSwitchLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/VersionSwitchLoop.kt
@@ -1,5 +1,5 @@
 /**
- * Reads the engine and carries out what the switch controller decides.
+ * Reads the state of the engine and carries out the steps of a version switch that the switch controller decides.
  */
 package lagoonrudder.daemon.target
 
@@ -29,67 +29,67 @@
     private val weights: WeightDistributionLoop,
 ) {
     private val wakeSignal = Channel<Unit>(Channel.CONFLATED)
-    private var known: IncarnationId? = null
+    private var lastIncarnation: IncarnationId? = null
     private var lastStatus: SwitchStatus? = null
 
     fun start() {
         core.scope.launch {
             while (core.scope.isActive) {
-                step()
-                noteStatus()
+                runStep()
+                logStatusChange()
             }
         }
     }
 
-    /** Something changed that may call for another step. */
+    /** Wakes the loop after a change that may require another step. */
     fun wake() {
         wakeSignal.trySend(Unit)
     }
 
-    private suspend fun step() {
+    private suspend fun runStep() {
         val step =
             core.thread.decide {
                 control.switch.next(weights.isComplete(), control.limits.inFlight(), core.clock.elapsed(), core.clock.now())
             }
         core.thread.decide { control.publish() }
         when (step) {
-            SwitchStep.Rest -> rest(READ_INTERVAL)
+            SwitchStep.Rest -> waitAndReadEngine(ENGINE_READ_INTERVAL)
             SwitchStep.ReadEngine -> readEngine()
-            SwitchStep.DrawWeights -> rest(READ_INTERVAL)
-            SwitchStep.Drain -> pause(DRAIN_INTERVAL)
-            is SwitchStep.AskOthers -> askOthers(step.targets)
-            is SwitchStep.Give -> give(step.order)
-            is SwitchStep.WaitOut -> pause(step.until - core.clock.elapsed())
+            SwitchStep.DrawWeights -> waitAndReadEngine(ENGINE_READ_INTERVAL)
+            SwitchStep.Drain -> awaitWakeUp(DRAIN_CHECK_INTERVAL)
+            is SwitchStep.AskOthers -> queryTargets(step.targets)
+            is SwitchStep.Give -> sendOrder(step.order)
+            is SwitchStep.WaitOut -> awaitWakeUp(step.until - core.clock.elapsed())
         }
     }
 
-    /** Waits, then reads the engine, which may have started anew without notice. */
-    private suspend fun rest(limit: Duration) {
-        pause(limit)
+    /** Waits, then reads the state of the engine, which may have restarted unnoticed. */
+    private suspend fun waitAndReadEngine(timeout: Duration) {
+        awaitWakeUp(timeout)
         readEngine()
     }
 
-    private suspend fun pause(limit: Duration) {
-        withTimeoutOrNull(limit.coerceAtLeast(DRAIN_INTERVAL)) { wakeSignal.receive() }
+    private suspend fun awaitWakeUp(timeout: Duration) {
+        withTimeoutOrNull(timeout.coerceAtLeast(DRAIN_CHECK_INTERVAL)) { wakeSignal.receive() }
     }
 
     private suspend fun readEngine() {
-        backEnd.state(READ_LIMIT).fold(
+        backEnd.state(READ_TIMEOUT).fold(
             { failure ->
                 core.thread.decide {
                     control.switch.engineLost()
                     control.publish()
                 }
-                core.log.failure("engine-not-read", failure)
-                pause(FAILURE_PAUSE)
+                core.log.failure("engine-read-failed", failure)
+                awaitWakeUp(RETRY_DELAY)
             },
-            { takeState(it) },
+            { onEngineState(it) },
         )
     }
 
-    private suspend fun takeState(state: EngineState) {
-        val restarted = known != null && known != state.incarnation
-        known = state.incarnation
+    private suspend fun onEngineState(state: EngineState) {
+        val restarted = lastIncarnation != null && lastIncarnation != state.incarnation
+        lastIncarnation = state.incarnation
         core.thread.decide {
             control.switch.read(state)
             control.limits.observe(state.incarnation)
@@ -101,23 +101,23 @@
         core.scope.launch { weights.redeliverHeldChunks() }
     }
 
-    private suspend fun askOthers(targets: List<TargetId>) {
+    private suspend fun queryTargets(targets: List<TargetId>) {
         for (target in targets) {
             val instance = core.thread.decide { core.membership.daemonOf(target) }
-            val report = instance?.let { core.rpc.switchReport(it, ASK_LIMIT).getOrNull() }
+            val report = instance?.let { core.rpc.switchReport(it, QUERY_TIMEOUT).getOrNull() }
             core.thread.decide { control.switch.heard(target, report?.version, report?.status, core.clock.elapsed()) }
         }
-        pause(ASK_INTERVAL)
+        awaitWakeUp(QUERY_INTERVAL)
     }
 
-    private suspend fun give(order: EngineOrder) {
+    private suspend fun sendOrder(order: EngineOrder) {
         val result = backEnd.order(order, SwitchController.ORDER_LIFE)
         core.thread.decide { control.switch.ordered(order, result) }
         core.log.info("engine-ordered", "order" to order, "result" to result)
-        if (result is OrderResult.Unknown) pause(FAILURE_PAUSE)
+        if (result is OrderResult.Unknown) awaitWakeUp(RETRY_DELAY)
     }
 
-    private suspend fun noteStatus() {
+    private suspend fun logStatusChange() {
         val status = core.thread.decide { control.switch.status() }
         if (status == lastStatus) return
         lastStatus = status
@@ -128,11 +128,11 @@
     }
 
     private companion object {
-        val READ_INTERVAL = 1.seconds
-        val READ_LIMIT = 1.seconds
-        val DRAIN_INTERVAL = 20.milliseconds
-        val FAILURE_PAUSE = 300.milliseconds
-        val ASK_LIMIT = 500.milliseconds
-        val ASK_INTERVAL = 200.milliseconds
+        val ENGINE_READ_INTERVAL = 1.seconds
+        val READ_TIMEOUT = 1.seconds
+        val DRAIN_CHECK_INTERVAL = 20.milliseconds
+        val RETRY_DELAY = 300.milliseconds
+        val QUERY_TIMEOUT = 500.milliseconds
+        val QUERY_INTERVAL = 200.milliseconds
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/WeightDistributionLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/WeightDistributionLoop.kt
@@ -1,5 +1,5 @@
 /**
- * Draws the version that this target should serve, hands it to the engine, and passes chunks on to peers.
+ * Fetches the chunks of the version that this target should serve, delivers them to the engine, and serves them to peers.
  */
 package lagoonrudder.daemon.target
 
@@ -48,30 +48,30 @@
     private val wakeSignal = Channel<Unit>(Channel.CONFLATED)
     private val arrivals = MutableStateFlow(0L)
 
-    /** The chunks that the engine has of the version being drawn; changed on the control thread only. */
-    private val delivered = mutableSetOf<ChunkIndex>()
-    private var drawing: OperatorObject.Version? = null
+    /** Chunks of the version being fetched that the engine has. Accessed on the control thread only. */
+    private val deliveredChunks = mutableSetOf<ChunkIndex>()
+    private var currentVersion: OperatorObject.Version? = null
     private var manifest: ByteArray? = null
 
     fun start() {
-        core.scope.launch { loop() }
+        core.scope.launch { runLoop() }
     }
 
-    /** The wanted version or the holders may have changed; runs on the control thread. */
+    /** Updates the fetch plan after the wanted version or the holders may have changed. Runs on the control thread. */
     fun onConfigurationChanged() {
         control.weights.replan(control.holders())
         wakeSignal.trySend(Unit)
     }
 
-    /** Whether the engine has every chunk of the wanted version; runs on the control thread. */
+    /** Whether the engine has every chunk of the wanted version. Runs on the control thread. */
     fun isComplete(): Boolean {
         val wanted = control.wantedVersion() ?: return false
-        return drawing == wanted && control.weights.progress()?.complete == true && delivered.size == wanted.chunkCount
+        return currentVersion == wanted && control.weights.progress()?.complete == true && deliveredChunks.size == wanted.chunkCount
     }
 
-    /** The engine started anew and has nothing; runs on the control thread. */
+    /** Resets the progress after a restart of the engine, which then has no chunks. Runs on the control thread. */
     fun onEngineRestarted() {
-        delivered.clear()
+        deliveredChunks.clear()
         control.weights.restart()
         wakeSignal.trySend(Unit)
     }
@@ -79,10 +79,10 @@
     override suspend fun chunk(message: ChunkMessage): ChunkReply {
         val version = VersionId(message.version)
         val chunk = ChunkIndex(message.chunk)
-        val bytes = find(version, chunk) ?: withTimeoutOrNull(PEER_WAIT) { awaitChunk(version, chunk) }
+        val bytes = findChunk(version, chunk) ?: withTimeoutOrNull(PEER_REQUEST_WAIT) { awaitChunk(version, chunk) }
         if (bytes != null) return ChunkReply(ChunkState.HELD, bytes)
-        val later = core.thread.decide { willHave(version) }
-        return ChunkReply(if (later) ChunkState.NOT_YET else ChunkState.NOT_HERE)
+        val willHold = core.thread.decide { willHoldLater(version) }
+        return ChunkReply(if (willHold) ChunkState.NOT_YET else ChunkState.NOT_HERE)
     }
 
     private suspend fun awaitChunk(
@@ -90,60 +90,60 @@
         chunk: ChunkIndex,
     ): ByteArray? {
         while (true) {
-            val seen = arrivals.value
-            find(version, chunk)?.let { return it }
-            val hopeless = core.thread.decide { control.weights.draws(version) && !willHave(version) }
-            if (hopeless) return null
-            arrivals.first { it != seen }
+            val seenArrivals = arrivals.value
+            findChunk(version, chunk)?.let { return it }
+            val isUnobtainable = core.thread.decide { control.weights.draws(version) && !willHoldLater(version) }
+            if (isUnobtainable) return null
+            arrivals.first { it != seenArrivals }
         }
     }
 
-    private suspend fun find(
+    private suspend fun findChunk(
         version: VersionId,
         chunk: ChunkIndex,
     ): ByteArray? =
         core.thread.decide {
-            if (chunk == MANIFEST) manifest?.takeIf { drawing?.id == version } else control.weights.held(version, chunk)
+            if (chunk == MANIFEST_INDEX) manifest?.takeIf { currentVersion?.id == version } else control.weights.held(version, chunk)
         }
 
-    private fun willHave(version: VersionId): Boolean {
+    private fun willHoldLater(version: VersionId): Boolean {
         val progress = control.weights.progress()
         return control.wantedVersion()?.id == version && progress?.complete != true
     }
 
-    private suspend fun loop() {
+    private suspend fun runLoop() {
         while (core.scope.isActive) {
             val wanted = core.thread.decide { control.wantedVersion() }
-            if (wanted == null) drop() else step(wanted)
+            if (wanted == null) dropVersion() else fetchNext(wanted)
         }
     }
 
-    private suspend fun drop() {
+    private suspend fun dropVersion() {
         core.thread.decide {
-            drawing = null
+            currentVersion = null
             control.weights.drop()
         }
         wakeSignal.receive()
     }
 
-    private suspend fun step(wanted: OperatorObject.Version) {
-        if (!prepare(wanted)) return pause(MANIFEST_PAUSE)
+    private suspend fun fetchNext(wanted: OperatorObject.Version) {
+        if (!prepare(wanted)) return awaitWakeUp(MANIFEST_RETRY_DELAY)
         val now = core.clock.elapsed()
         when (val decision = core.thread.decide { control.weights.next(now) }) {
-            is DrawDecision.Draw -> core.scope.launch { draw(decision, wanted) }
-            is DrawDecision.Wait -> pause((decision.until - now).coerceIn(SHORTEST_PAUSE, LONGEST_PAUSE))
+            is DrawDecision.Draw -> core.scope.launch { fetch(decision, wanted) }
+            is DrawDecision.Wait -> awaitWakeUp((decision.until - now).coerceIn(MIN_WAIT, MAX_WAIT))
             DrawDecision.Busy, DrawDecision.Complete -> wakeSignal.receive()
         }
     }
 
-    /** Waits until something changes, for [limit] at most. */
-    private suspend fun pause(limit: Duration) {
-        withTimeoutOrNull(limit) { wakeSignal.receive() }
+    /** Waits for a wake-up signal, for [timeout] at most. */
+    private suspend fun awaitWakeUp(timeout: Duration) {
+        withTimeoutOrNull(timeout) { wakeSignal.receive() }
     }
 
-    /** Gets the manifest of a newly wanted version; false while it can't be had. */
+    /** Reads the manifest of a newly wanted version; returns false if it is unavailable or malformed. */
     private suspend fun prepare(wanted: OperatorObject.Version): Boolean {
-        if (core.thread.decide { drawing == wanted }) return true
+        if (core.thread.decide { currentVersion == wanted }) return true
         val bytes = readManifest(wanted) ?: return false
         val digests =
             bytes
@@ -151,25 +151,25 @@
                 .lines()
                 .filter { it.isNotBlank() }
                 .map(::Digest)
-        if (digests.size != wanted.chunkCount) return false.also { malformedManifest(wanted, digests.size) }
-        core.thread.decide { begin(wanted, bytes, digests) }
+        if (digests.size != wanted.chunkCount) return false.also { logMalformedManifest(wanted, digests.size) }
+        core.thread.decide { startFetching(wanted, bytes, digests) }
         core.log.info("weights-wanted", "version" to wanted.id.text, "chunks" to digests.size)
         return true
     }
 
-    private fun begin(
+    private fun startFetching(
         wanted: OperatorObject.Version,
         bytes: ByteArray,
         digests: List<Digest>,
     ) {
-        drawing = wanted
+        currentVersion = wanted
         manifest = bytes
-        delivered.clear()
+        deliveredChunks.clear()
         control.weights.want(wanted, digests, control.holders())
         arrivals.value++
     }
 
-    private fun malformedManifest(
+    private fun logMalformedManifest(
         wanted: OperatorObject.Version,
         found: Int,
     ) = core.log.error("manifest-malformed", "version" to wanted.id.text, "expected-chunks" to wanted.chunkCount, "found" to found)
@@ -177,7 +177,7 @@
     private suspend fun readManifest(wanted: OperatorObject.Version): ByteArray? {
         val sources = core.thread.decide { manifestSources(wanted) }
         for (source in sources) {
-            val read = readFrom(source, wanted, MANIFEST, MANIFEST_LIMIT) { origin.manifest(wanted.manifest, MANIFEST_LIMIT) }
+            val read = readFrom(source, wanted, MANIFEST_INDEX, MANIFEST_TIMEOUT) { origin.manifest(wanted.manifest, MANIFEST_TIMEOUT) }
             when (read) {
                 is Either.Left -> core.log.failure("manifest-failed", read.value, "version" to wanted.id.text)
                 is Either.Right -> read.value?.takeIf { digestOf(it) == wanted.manifest }?.let { return it }
@@ -193,22 +193,22 @@
             core.configuration.current.objects.regions.values
                 .firstOrNull { it.origin }
                 ?.id
-        return WeightPlan(core.options.sources, wanted.id, self, holders, region, wanted.chunkCount).sources(MANIFEST)
+        return WeightPlan(core.options.sources, wanted.id, self, holders, region, wanted.chunkCount).sources(MANIFEST_INDEX)
     }
 
-    /** Reads from [source]; null in place of bytes means that the source does not have them yet. */
+    /** Reads from [source]; returns null in place of bytes when the source does not have them yet. */
     private suspend fun readFrom(
         source: ChunkSource,
         version: OperatorObject.Version,
         chunk: ChunkIndex,
-        limit: Duration,
+        timeout: Duration,
         fromOrigin: suspend () -> Either<Failure, ByteArray>,
     ): Either<Failure, ByteArray?> =
         when (source) {
             ChunkSource.Origin -> fromOrigin()
             is ChunkSource.Peer -> {
                 val address = core.thread.decide { core.membership.instance(source.holder.daemon)?.address }
-                if (address == null) Either.Left(unlisted(source)) else readFromPeer(address, version, chunk, limit)
+                if (address == null) Either.Left(notListed(source)) else readFromPeer(address, version, chunk, timeout)
             }
         }
 
@@ -216,33 +216,33 @@
         address: Address,
         version: OperatorObject.Version,
         chunk: ChunkIndex,
-        limit: Duration,
+        timeout: Duration,
     ): Either<Failure, ByteArray?> {
-        val reply = core.rpc.chunk(address, ChunkMessage(version.id.text, chunk.number), limit)
+        val reply = core.rpc.chunk(address, ChunkMessage(version.id.text, chunk.number), timeout)
         return when (reply) {
             is Either.Left -> reply
             is Either.Right ->
                 when (reply.value.state) {
                     ChunkState.HELD -> Either.Right(reply.value.bytes)
                     ChunkState.NOT_YET -> Either.Right(null)
-                    ChunkState.NOT_HERE -> Either.Left(declined(address))
+                    ChunkState.NOT_HERE -> Either.Left(notHeld(address))
                 }
         }
     }
 
-    private suspend fun draw(
+    private suspend fun fetch(
         decision: DrawDecision.Draw,
         version: OperatorObject.Version,
     ) {
-        val limit = core.settings.limits.weights.drawLimit
-        val read = readFrom(decision.source, version, decision.chunk, limit) { origin.chunk(version.id, decision.chunk, limit) }
+        val timeout = core.settings.limits.weights.drawLimit
+        val read = readFrom(decision.source, version, decision.chunk, timeout) { origin.chunk(version.id, decision.chunk, timeout) }
         val result = read.fold({ DrawResult.Failed }, { if (it == null) DrawResult.NotYet else DrawResult.Arrived(digestOf(it), it) })
-        val judged =
+        val chunkDecision =
             core.thread.decide { control.weights.ended(version.id, decision.chunk, decision.source, result, core.clock.elapsed()) }
         read.onLeft { core.log.failure("chunk-failed", it, "version" to version.id.text, "chunk" to decision.chunk.number) }
-        when (judged) {
+        when (chunkDecision) {
             ChunkDecision.Keep -> keep(version, decision.chunk, result)
-            ChunkDecision.Damaged -> damaged(version, decision)
+            ChunkDecision.Damaged -> logDamagedChunk(version, decision)
             ChunkDecision.Discard -> Unit
         }
         wakeSignal.trySend(Unit)
@@ -257,47 +257,48 @@
         if (result is DrawResult.Arrived) deliver(version, chunk, result.bytes)
     }
 
-    /** Hands a chunk to the engine, again while the engine can't take it and the version is still wanted. */
+    /** Delivers a chunk to the engine; retries until the engine accepts it or the version is no longer wanted. */
     private suspend fun deliver(
         version: OperatorObject.Version,
         chunk: ChunkIndex,
         bytes: ByteArray,
     ) {
-        while (core.thread.decide { drawing == version }) {
+        while (core.thread.decide { currentVersion == version }) {
             val put = backEnd.putChunk(version.id, chunk, bytes, core.settings.limits.weights.drawLimit)
-            if (put.isRight()) return noteDelivered(version, chunk)
-            put.onLeft { core.log.failure("chunk-not-taken", it, "version" to version.id.text, "chunk" to chunk.number) }
-            delay(DELIVER_PAUSE)
+            if (put.isRight()) return onDelivered(version, chunk)
+            put.onLeft { core.log.failure("chunk-delivery-failed", it, "version" to version.id.text, "chunk" to chunk.number) }
+            delay(DELIVERY_RETRY_DELAY)
         }
     }
 
-    private suspend fun noteDelivered(
+    private suspend fun onDelivered(
         version: OperatorObject.Version,
         chunk: ChunkIndex,
     ) {
-        val whole =
+        val complete =
             core.thread.decide {
-                if (drawing == version) delivered += chunk
+                if (currentVersion == version) deliveredChunks += chunk
                 isComplete()
             }
-        if (!whole) return
+        if (!complete) return
         core.log.info("weights-complete", "version" to version.id.text)
         onComplete()
     }
 
-    /** Hands what is still held to an engine that started anew. */
+    /** Delivers all chunks that this daemon still holds to an engine that has restarted. */
     suspend fun redeliverHeldChunks() {
-        val version = core.thread.decide { drawing } ?: return
+        val version = core.thread.decide { currentVersion } ?: return
         val held = core.thread.decide { control.weights.heldChunks() }
         for ((chunk, bytes) in held) deliver(version, chunk, bytes)
     }
 
-    private fun damaged(
+    private fun logDamagedChunk(
         version: OperatorObject.Version,
         decision: DrawDecision.Draw,
     ) {
         core.metrics.count("chunks", "damaged")
-        val failure = Failure.Damaged(Step.VERIFY_CHUNK, peerOf(decision.source), "chunk ${decision.chunk.number} doesn't match its digest")
+        val failure =
+            Failure.Damaged(Step.VERIFY_CHUNK, peerOf(decision.source), "chunk ${decision.chunk.number} does not match its digest")
         core.log.failure("chunk-damaged", failure, "version" to version.id.text)
     }
 
@@ -307,19 +308,19 @@
             is ChunkSource.Peer -> Peer(PeerRole.TARGET, source.holder.daemon.text)
         }
 
-    private fun unlisted(source: ChunkSource.Peer) =
-        Failure.Unreachable(Step.DRAW_CHUNK, Peer(PeerRole.TARGET, source.holder.daemon.text), "not listed")
+    private fun notListed(source: ChunkSource.Peer) =
+        Failure.Unreachable(Step.DRAW_CHUNK, Peer(PeerRole.TARGET, source.holder.daemon.text), "daemon is not listed as an instance")
 
-    private fun declined(address: Address) = Failure.Declined(Step.DRAW_CHUNK, Peer(PeerRole.TARGET, address.toString()), "chunk not held")
+    private fun notHeld(address: Address) = Failure.Declined(Step.DRAW_CHUNK, Peer(PeerRole.TARGET, address.toString()), "chunk not held")
 
     private companion object {
-        /** Stands for the manifest of a version where a chunk is asked for. */
-        val MANIFEST = ChunkIndex(-1)
-        val PEER_WAIT = 2.seconds
-        val MANIFEST_LIMIT = 4.seconds
-        val MANIFEST_PAUSE = 500.milliseconds
-        val DELIVER_PAUSE = 300.milliseconds
-        val SHORTEST_PAUSE = 5.milliseconds
-        val LONGEST_PAUSE = 1.seconds
+        /** Index that denotes the manifest of a version in requests for chunks. */
+        val MANIFEST_INDEX = ChunkIndex(-1)
+        val PEER_REQUEST_WAIT = 2.seconds
+        val MANIFEST_TIMEOUT = 4.seconds
+        val MANIFEST_RETRY_DELAY = 500.milliseconds
+        val DELIVERY_RETRY_DELAY = 300.milliseconds
+        val MIN_WAIT = 5.milliseconds
+        val MAX_WAIT = 1.seconds
     }
 }
--- a/daemon/src/test/kotlin/lagoonrudder/daemon/DaemonSettingsTest.kt
+++ b/daemon/src/test/kotlin/lagoonrudder/daemon/DaemonSettingsTest.kt
@@ -32,11 +32,11 @@
     weight-memory-bytes = 1000000
     """.trimIndent()
 
-private fun problem(text: String): String = readSettings(text, "daemon.ini").leftOrNull()?.detail.orEmpty()
+private fun errorOf(text: String): String = readSettings(text, "daemon.ini").leftOrNull()?.detail.orEmpty()
 
 class DaemonSettingsTest :
     FunSpec({
-        test("settings are read whole") {
+        test("all settings are parsed") {
             val settings = checkNotNull(readSettings(target, "daemon.ini").getOrNull())
             settings.role shouldBe DaemonRole.TARGET
             settings.listen.rpc shouldBe Address("127.0.0.1", 0)
@@ -46,17 +46,17 @@
         }
 
         test("errors name the file, the section and the key") {
-            problem(target.replace("role = target", "role = king")) shouldBe
+            errorOf(target.replace("role = target", "role = king")) shouldBe
                 "file daemon.ini section [daemon] key role: expected one of entry, target, found \"king\""
-            problem(target.replace("127.0.0.1:6001", "platform.example:6001")) shouldContain
+            errorOf(target.replace("127.0.0.1:6001", "platform.example:6001")) shouldContain
                 "section [platform] key configuration: expected an IP number"
-            problem(target.replace("[slot]", "[sloth]")) shouldContain "section [sloth]: expected one of the sections"
-            problem(target.replace("back-end", "backend")) shouldContain "section [slot] key back-end"
-            problem(target.replace("1000000", "-5")) shouldContain "section [limits] key weight-memory-bytes"
-            problem(target.replace("[peers]", "[peers]\ncolour = red")) shouldContain "section [peers] key colour"
+            errorOf(target.replace("[slot]", "[sloth]")) shouldContain "section [sloth]: expected one of the sections"
+            errorOf(target.replace("back-end", "backend")) shouldContain "section [slot] key back-end"
+            errorOf(target.replace("1000000", "-5")) shouldContain "section [limits] key weight-memory-bytes"
+            errorOf(target.replace("[peers]", "[peers]\ncolour = red")) shouldContain "section [peers] key colour"
         }
 
-        test("any text is read or refused, never an exception") {
+        test("any text is parsed or refused without an exception") {
             checkAll(300, Arb.string(0..300)) { text -> readSettings(text, "daemon.ini") }
         }
     })
--- a/daemon/src/test/kotlin/lagoonrudder/daemon/direct/DirectSettingsTest.kt
+++ b/daemon/src/test/kotlin/lagoonrudder/daemon/direct/DirectSettingsTest.kt
@@ -16,11 +16,11 @@
 private val ENTRY = File("../deploy/rehearsal-entry.ini").readText()
 private val TARGET = File("../deploy/rehearsal-target.ini").readText()
 
-private fun error(text: String): String = readDirectSettings(text, "file.ini").leftOrNull().shouldNotBeNull().describe()
+private fun errorOf(text: String): String = readDirectSettings(text, "file.ini").leftOrNull().shouldNotBeNull().describe()
 
 class DirectSettingsTest :
     FunSpec({
-        test("an entry daemon's settings are read") {
+        test("settings of an entry daemon are parsed") {
             val settings = readDirectSettings(ENTRY, "file.ini").getOrElse { kotlin.error(it.describe()) }
             settings.role shouldBe DaemonRole.ENTRY
             settings.listen.shouldNotBeNull().callers shouldBe Address("127.0.0.1", 17611)
@@ -29,20 +29,20 @@
             settings.slot.shouldBeNull()
         }
 
-        test("a target daemon's settings are read") {
+        test("settings of a target daemon are parsed") {
             val settings = readDirectSettings(TARGET, "file.ini").getOrElse { kotlin.error(it.describe()) }
             settings.slot.shouldNotBeNull().backEnd shouldBe Address("127.0.0.1", 17618)
             settings.listen.shouldBeNull()
         }
 
-        test("an empty slot is none") {
+        test("a slot without a back end is parsed as no slot") {
             val empty = TARGET.replace("back-end = 127.0.0.1:17618", "back-end = ")
             readDirectSettings(empty, "file.ini").getOrElse { kotlin.error(it.describe()) }.slot.shouldBeNull()
         }
 
-        test("an error names file, section and key") {
-            error(ENTRY.replace("version = 8s", "version = soon")) shouldContain "file file.ini section [bounds] key version"
-            error(ENTRY.replace("role = entry", "role = other")) shouldContain "section [daemon] key role"
-            error(ENTRY.replace("[store]", "[shop]")) shouldContain "section [store]"
+        test("an error names the file, the section and the key") {
+            errorOf(ENTRY.replace("version = 8s", "version = soon")) shouldContain "file file.ini section [bounds] key version"
+            errorOf(ENTRY.replace("role = entry", "role = other")) shouldContain "section [daemon] key role"
+            errorOf(ENTRY.replace("[store]", "[shop]")) shouldContain "section [store]"
         }
     })
