--- a/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationSyncLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationSyncLoop.kt
@@ -137,11 +137,11 @@
     ): Boolean = current.revision > revision || (current.revision == revision && revision > Revision.NONE && current.digest > digest)
 
     private fun offerMessage(
-        current: SealedSet,
+        set: SealedSet,
         changes: SealedChanges?,
     ): OfferMessage {
         val sender = core.settings.name.text
-        return if (changes == null) OfferMessage(sender, true, writeWhole(current)) else OfferMessage(sender, false, writeChanges(changes))
+        return if (changes == null) OfferMessage(sender, true, writeWhole(set)) else OfferMessage(sender, false, writeChanges(changes))
     }
 
     /** Runs [watch] repeatedly while this daemon is a watcher, with exponential back-off while it fails. */
@@ -311,8 +311,8 @@
         set: SealedSet,
     ) {
         val reply = core.rpc.offer(child.address, message, OFFER_TIMEOUT)
-        val wholeNeeded = reply.fold({ onOfferFailed(child.daemon, it) }, { it.wholeNeeded })
-        if (wholeNeeded) core.rpc.offer(child.address, OfferMessage(core.settings.name.text, true, writeWhole(set)), OFFER_TIMEOUT)
+        val needsFull = reply.fold({ onOfferFailed(child.daemon, it) }, { it.wholeNeeded })
+        if (needsFull) core.rpc.offer(child.address, OfferMessage(core.settings.name.text, true, writeWhole(set)), OFFER_TIMEOUT)
     }
 
     private suspend fun onOfferFailed(
@@ -381,22 +381,18 @@
 
     private suspend fun applyReply(
         reply: ExchangeAnswer,
-        address: Address,
+        peer: Address,
         own: SealedSet,
     ) {
         reply.instances?.let { changes -> core.thread.decide { if (core.membership.apply(changes)) onChange() } }
         val offer = reply.offer
         if (offer != null) {
-            val wholeNeeded = applyOffer(offer).wholeNeeded
-            if (wholeNeeded) {
-                core.rpc.exchange(address, ExchangeMessage(), OFFER_TIMEOUT).onRight { full ->
-                    full.offer?.let { applyOffer(it) }
-                }
-            }
+            val needsFull = applyOffer(offer).wholeNeeded
+            if (needsFull) core.rpc.exchange(peer, ExchangeMessage(), OFFER_TIMEOUT).onRight { full -> full.offer?.let { applyOffer(it) } }
             return
         }
-        val peerBehind = isNewer(own, reply.revision, reply.digest)
-        if (peerBehind) core.rpc.offer(address, OfferMessage(core.settings.name.text, true, writeWhole(own)), OFFER_TIMEOUT)
+        val isPeerBehind = isNewer(own, reply.revision, reply.digest)
+        if (isPeerBehind) core.rpc.offer(peer, OfferMessage(core.settings.name.text, true, writeWhole(own)), OFFER_TIMEOUT)
     }
 
     private companion object {
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntryDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntryDaemon.kt
@@ -42,10 +42,10 @@
             random,
         )
     private val control =
-        DirectControl(core.thread, core.clock, core.publication, core.peers, placement, RepeatShare(settings.bounds.repeats))
+        DirectControl(core.thread, core.clock, core.publication, core.peers, placement, RepeatShare(settings.bounds.retryBudget))
     private val client = PeerClient(core.http)
-    private val store = StoreSyncLoop(core, isNeeded = { true }, onChange = ::onPublicationChanged)
-    private val peers = GossipLoop(core, client, loads = placement::inFlight, onChange = ::onPublicationChanged)
+    private val store = StoreSyncLoop(core, isNeeded = { true }, onChange = ::onStoreViewChanged)
+    private val peers = GossipLoop(core, client, loads = placement::inFlight, onChange = ::onStoreViewChanged)
     private val chunks = ChunkCache(core, WeightFetcher(core, client))
     private val pauseDetector = PauseDetector(core.clock)
     private var prefetchedVersions = emptyList<DeclaredWeights>()
@@ -61,7 +61,7 @@
     override suspend fun start() {
         val listen = checkNotNull(settings.listen)
         val chain = FilterChain(directFilters(control, BackEndEnd(core.http), random, ::recordRequestEnd))
-        val endpoint = PeerEndpoint(core, chunks, placement::inFlight, ::onPublicationChanged)
+        val endpoint = PeerEndpoint(core, chunks, placement::inFlight, ::onStoreViewChanged)
         HttpServer.start(core.loop, core.scope, listen.peers, { HttpServer.PEER_LIMITS }, endpoint)
         HttpServer.start(core.loop, core.scope, listen.ready, { HttpServer.PEER_LIMITS }, ReadyEnd { isReady() })
         callers = HttpServer.start(core.loop, core.scope, listen.callers, { limits }, CallerEnd(chain, core.clock))
@@ -88,7 +88,7 @@
     }
 
     /** Applies a change of the published state. Runs on the control thread. */
-    private fun onPublicationChanged() {
+    private fun onStoreViewChanged() {
         limits = core.publication.serving?.limits ?: DEFAULT_LIMITS
         control.published()
         val newest = core.publication.newest
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectSettings.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectSettings.kt
@@ -41,7 +41,7 @@
 /** Limits from the section `bounds`; [stopGrace] is the time from the stop signal to the exit of the process. */
 data class DirectBounds(
     val placement: PlacementBounds,
-    val repeats: RepeatBounds,
+    val retryBudget: RepeatBounds,
     val stopGrace: Duration,
 )
 
@@ -103,7 +103,7 @@
     with(section) {
         DirectBounds(
             placement = PlacementBounds(duration("version"), double("cold-ratio"), double("cold-allowance")),
-            repeats = RepeatBounds(double("repeat-ratio"), duration("repeat-window"), double("repeat-allowance")),
+            retryBudget = RepeatBounds(double("repeat-ratio"), duration("repeat-window"), double("repeat-allowance")),
             stopGrace = duration("stop-grace"),
         )
     }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StagingLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StagingLoop.kt
@@ -95,7 +95,7 @@
             return
         }
         if (!stage(manifest)) return
-        if (!awaitTurn(manifest, report)) return
+        if (!awaitScheduledSwitch(manifest, report)) return
         if (isRecentlyVerified() || verify(manifest)) orderLoad(manifest, report)
     }
 
@@ -105,8 +105,8 @@
     ): WeightManifest? {
         val known = manifest?.takeIf { it.model == wanted.model && (wanted.number == null || it.number == wanted.number) }
         if (known != null) return known
-        val begun = manifest?.takeIf { it.model == wanted.model && it.number > (report.held?.number ?: NONE_HELD) }
-        if (begun != null && isStillWanted(begun) && !isOutdated(begun)) return begun
+        val inProgress = manifest?.takeIf { it.model == wanted.model && it.number > (report.held?.number ?: NO_VERSION) }
+        if (inProgress != null && isStillWanted(inProgress) && !isOutdated(inProgress)) return inProgress
         val sources = core.thread.decide { core.staging.sources(wanted.model, wanted.number, MANIFEST_INDEX, core.clock.elapsed()) }
         val fetched = fetcher.manifest(sources, wanted.model, wanted.number).getOrElse { return null }
         manifest = fetched
@@ -165,7 +165,7 @@
     private suspend fun isStillWanted(manifest: WeightManifest): Boolean =
         core.thread.decide { core.staging.finishes(manifest.model, manifest.number, stagedChunks.size, manifest.digests.size) }
 
-    private suspend fun awaitTurn(
+    private suspend fun awaitScheduledSwitch(
         manifest: WeightManifest,
         report: BackEndReport,
     ): Boolean {
@@ -174,7 +174,7 @@
             val turn = turn(manifest, report) ?: return true
             val wait = turn.at - core.clock.elapsed()
             if (wait <= Duration.ZERO) return true
-            delay(minOf(wait, TURN_CHECK_INTERVAL))
+            delay(minOf(wait, SCHEDULE_CHECK_INTERVAL))
         }
         return false
     }
@@ -285,7 +285,7 @@
 
     private companion object {
         const val MANIFEST_INDEX = -1
-        val NONE_HELD = WeightNumber(0)
+        val NO_VERSION = WeightNumber(0)
 
         /** The link of the slot also carries requests, so one chunk is fetched while the previous one is staged. */
         const val MAX_CONCURRENT_FETCHES = 2
@@ -294,7 +294,7 @@
         val VERIFICATION_VALIDITY = 300.milliseconds
         val IDLE_POLL_INTERVAL = 400.milliseconds
         val RETRY_DELAY = 300.milliseconds
-        val TURN_CHECK_INTERVAL = 200.milliseconds
+        val SCHEDULE_CHECK_INTERVAL = 200.milliseconds
 
         /** A chunk that an entry daemon of the region has cached arrives within a few round trips. */
         val NEWER_VERSION_TIMEOUT = 400.milliseconds
