--- a/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationSyncLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationSyncLoop.kt
@@ -137,11 +137,11 @@
     ): Boolean = current.revision > revision || (current.revision == revision && revision > Revision.NONE && current.digest > digest)
 
     private fun offerMessage(
-        set: SealedSet,
+        current: SealedSet,
         changes: SealedChanges?,
     ): OfferMessage {
         val sender = core.settings.name.text
-        return if (changes == null) OfferMessage(sender, true, writeWhole(set)) else OfferMessage(sender, false, writeChanges(changes))
+        return if (changes == null) OfferMessage(sender, true, writeWhole(current)) else OfferMessage(sender, false, writeChanges(changes))
     }
 
     /** Runs [watch] repeatedly while this daemon is a watcher, with exponential back-off while it fails. */
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/ChunkCache.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/ChunkCache.kt
@@ -75,7 +75,9 @@
         core.scope.launch {
             val ownChunks =
                 core.thread.decide {
-                    manifest.digests.indices.filter { core.staging.leads(manifest.model, manifest.number, it, core.clock.elapsed()) }
+                    manifest.digests.indices.filter {
+                        core.staging.leads(manifest.model, manifest.number, it, core.clock.elapsed())
+                    }
                 }
             core.log.info("chunk-prefetch-started", "number" to manifest.number.number, "pieces" to ownChunks.size)
             ownChunks.forEach { index -> core.scope.launch { chunk(manifest.model, manifest.number, index) } }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectCore.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectCore.kt
@@ -93,7 +93,7 @@
             )
         }
         change.gone.forEach { log.info("back-end-gone", "target" to it.text, "source" to source, "at" to at) }
-        change.unusable.forEach { log.warning("item-unusable", "detail" to it, "source" to source, "at" to at) }
+        change.unusable.forEach { log.warning("store-item-invalid", "detail" to it, "source" to source, "at" to at) }
     }
 
     /** Returns the dump sections that both roles have. Runs on the control thread. */
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntryDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntryDaemon.kt
@@ -107,7 +107,7 @@
             if (pause != null) {
                 core.log.warning("paused", "for" to pause)
                 core.http.forget(settings.store)
-                store.retryNow()
+                store.pollNow()
             }
         }
     }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/GossipLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/GossipLoop.kt
@@ -127,7 +127,14 @@
     private fun gossipMessage(wantsPeers: Boolean): WordMessage {
         val isLagging = behindSince?.let { core.clock.elapsed() - it > MAX_STORE_LAG } ?: false
         val wantsItems = isLagging || !core.publication.confirmed || core.self.role == DaemonRole.TARGET
-        return WordMessage(core.self.toMessage(), core.publication.at, wantsItems, loads().toMessages(), slot?.toMessage(), wantsPeers)
+        return WordMessage(
+            core.self.toMessage(),
+            core.publication.at,
+            wantsItems,
+            loads().toMessages(),
+            slot?.toMessage(),
+            wantsPeers,
+        )
     }
 
     private suspend fun applyReply(
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StagingLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StagingLoop.kt
@@ -103,11 +103,13 @@
         wanted: WantedWeights,
         report: BackEndReport,
     ): WeightManifest? {
-        val known = manifest?.takeIf { it.model == wanted.model && (wanted.number == null || it.number == wanted.number) }
-        if (known != null) return known
+        val current =
+            manifest?.takeIf { it.model == wanted.model && (wanted.number == null || it.number == wanted.number) }
+        if (current != null) return current
         val inProgress = manifest?.takeIf { it.model == wanted.model && it.number > (report.held?.number ?: NO_VERSION) }
         if (inProgress != null && isStillWanted(inProgress) && !isOutdated(inProgress)) return inProgress
-        val sources = core.thread.decide { core.staging.sources(wanted.model, wanted.number, MANIFEST_INDEX, core.clock.elapsed()) }
+        val sources =
+            core.thread.decide { core.staging.sources(wanted.model, wanted.number, MANIFEST_INDEX, core.clock.elapsed()) }
         val fetched = fetcher.manifest(sources, wanted.model, wanted.number).getOrElse { return null }
         manifest = fetched
         stagedChunks.clear()
@@ -261,7 +263,7 @@
         val fields = arrayOf("number" to manifest.number.number, "orders" to report.orders, "running" to report.running)
         when (answer) {
             OrderAnswer.Begun -> core.log.info("order-begun", *fields)
-            OrderAnswer.InEffect -> core.log.info("order-in-effect", *fields)
+            OrderAnswer.InEffect -> core.log.info("order-already-applied", *fields)
             is OrderAnswer.Declined -> core.log.warning("order-declined", *fields, "status" to answer.status, "detail" to answer.detail)
         }
     }
@@ -280,7 +282,7 @@
             }
             if (!report.loading) return
         }
-        core.log.warning("load-unfinished", "number" to manifest.number.number, "after" to core.clock.elapsed() - orderedAt)
+        core.log.warning("load-timed-out", "number" to manifest.number.number, "after" to core.clock.elapsed() - orderedAt)
     }
 
     private companion object {
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StoreSyncLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StoreSyncLoop.kt
@@ -32,7 +32,7 @@
 ) {
     private val store = StoreClient(core.http, core.settings.store)
     private var pendingRequest: Job? = null
-    private var retryRequested = false
+    private var pollRequested = false
     private var needsFullRead = true
 
     @Volatile
@@ -40,8 +40,8 @@
     private var failures = 0
 
     /** Cancels a pending watch and requests the store at once, for example after a pause of the process. */
-    fun retryNow() {
-        retryRequested = true
+    fun pollNow() {
+        pollRequested = true
         pendingRequest?.cancel()
     }
 
@@ -59,11 +59,11 @@
         }
     }
 
-    /** Sends one read or watch and applies the response; returns null when [retryNow] cancelled it. */
+    /** Sends one read or watch and applies the response; returns null when [pollNow] cancelled it. */
     private suspend fun readOrWatch(): Either<Failure, Unit>? =
         coroutineScope {
-            val wait = if (retryRequested || lostSince != null) Duration.ZERO else WATCH_TIMEOUT
-            retryRequested = false
+            val wait = if (pollRequested || lostSince != null) Duration.ZERO else WATCH_TIMEOUT
+            pollRequested = false
             val request = async { if (needsFullRead) readAll() else watch(wait) }
             pendingRequest = request
             try {
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/entry/TargetReportLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/entry/TargetReportLoop.kt
@@ -85,7 +85,7 @@
     ): Boolean {
         if (failure is Failure.TimedOut) core.rpc.reset(instance)
         core.thread.decide { control.membership.suspect(instance.daemon, core.clock.elapsed()) }
-        core.log.failure("reports-lost", failure, "daemon" to instance.daemon.text)
+        core.log.failure("report-stream-failed", failure, "daemon" to instance.daemon.text)
         return false
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/VersionSwitchLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/VersionSwitchLoop.kt
@@ -113,7 +113,7 @@
     private suspend fun sendOrder(order: EngineOrder) {
         val result = backEnd.order(order, SwitchController.ORDER_LIFE)
         core.thread.decide { control.switch.ordered(order, result) }
-        core.log.info("engine-ordered", "order" to order, "result" to result)
+        core.log.info("engine-order-sent", "order" to order, "result" to result)
         if (result is OrderResult.Unknown) awaitWakeUp(RETRY_DELAY)
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/WeightDistributionLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/WeightDistributionLoop.kt
@@ -153,7 +153,7 @@
                 .map(::Digest)
         if (digests.size != wanted.chunkCount) return false.also { logMalformedManifest(wanted, digests.size) }
         core.thread.decide { startFetching(wanted, bytes, digests) }
-        core.log.info("weights-wanted", "version" to wanted.id.text, "chunks" to digests.size)
+        core.log.info("weight-fetch-started", "version" to wanted.id.text, "chunks" to digests.size)
         return true
     }
 
@@ -179,7 +179,7 @@
         for (source in sources) {
             val read = readFrom(source, wanted, MANIFEST_INDEX, MANIFEST_TIMEOUT) { origin.manifest(wanted.manifest, MANIFEST_TIMEOUT) }
             when (read) {
-                is Either.Left -> core.log.failure("manifest-failed", read.value, "version" to wanted.id.text)
+                is Either.Left -> core.log.failure("manifest-fetch-failed", read.value, "version" to wanted.id.text)
                 is Either.Right -> read.value?.takeIf { digestOf(it) == wanted.manifest }?.let { return it }
             }
         }
@@ -239,7 +239,7 @@
         val result = read.fold({ DrawResult.Failed }, { if (it == null) DrawResult.NotYet else DrawResult.Arrived(digestOf(it), it) })
         val chunkDecision =
             core.thread.decide { control.weights.ended(version.id, decision.chunk, decision.source, result, core.clock.elapsed()) }
-        read.onLeft { core.log.failure("chunk-failed", it, "version" to version.id.text, "chunk" to decision.chunk.number) }
+        read.onLeft { core.log.failure("chunk-fetch-failed", it, "version" to version.id.text, "chunk" to decision.chunk.number) }
         when (chunkDecision) {
             ChunkDecision.Keep -> keep(version, decision.chunk, result)
             ChunkDecision.Damaged -> logDamagedChunk(version, decision)
