--- a/control/src/main/kotlin/lagoonrudder/control/direct/PlacementController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/PlacementController.kt
@@ -47,7 +47,7 @@
     val service: ServiceId,
     val customer: CustomerId?,
     val priority: Int,
-    val homes: List<Set<RegionId>>,
+    val homeRegions: List<Set<RegionId>>,
     val passedOver: Set<TargetId>,
     val number: WeightNumber?,
     val promptTokens: Int,
@@ -185,7 +185,7 @@
         now: Duration,
     ): Boolean {
         val region = places.regions[backEnd.domain]
-        val inHomes = need.homes.all { it.isEmpty() || region in it }
+        val inHomes = need.homeRegions.all { it.isEmpty() || region in it }
         val isOpen =
             !backEnd.leaving && backEnd.domain !in publication.evacuated && !slots.closed(backEnd, now) && backEnd.id !in need.passedOver
         return isOpen && inHomes && holdsWeights(backEnd, need, now)
--- a/control/src/main/kotlin/lagoonrudder/control/direct/SwitchTurns.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/SwitchTurns.kt
@@ -66,7 +66,7 @@
             ?.routes
             .orEmpty()
             .filter { route -> route.shares.any { it.service == service } }
-            .all { it.kind.repeatable && it.attempts > 1 }
+            .all { it.kind.retryable && it.attempts > 1 }
 
     private companion object {
         /** A copy takes three seconds over a target's link, less when it overlaps the origin's sending. */
--- a/control/src/test/kotlin/lagoonrudder/control/direct/PlacementControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/direct/PlacementControllerTest.kt
@@ -12,7 +12,7 @@
 import lagoonrudder.model.CustomerId
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.HeldWeights
-import lagoonrudder.model.Published
+import lagoonrudder.model.StoreRecord
 import lagoonrudder.model.Refusal
 import lagoonrudder.model.RegionId
 import lagoonrudder.model.TargetId
@@ -38,14 +38,14 @@
         PlacementController(Places(NEAR, REGIONS), PlacementBounds(8.seconds, 1.5, 5.0), publication, peers, slots, Random(1))
 
     init {
-        publication.take(listOf(item("op/config", 1, Published.Serving(servingSet(1, cold)))), 1, 10.seconds)
+        publication.take(listOf(item("op/config", 1, StoreRecord.Configuration(servingSet(1, cold)))), 1, 10.seconds)
         publication.take(backEnds.mapIndexed { index, each -> registered(each, index + 2L) }, 50, 10.seconds)
     }
 
     fun place(
         patience: Duration = Duration.ZERO,
         customer: String? = null,
-        homes: List<Set<RegionId>> = emptyList(),
+        homeRegions: List<Set<RegionId>> = emptyList(),
         passedOver: Set<TargetId> = emptySet(),
         number: Long? = null,
         promptTokens: Int = 0,
@@ -55,7 +55,7 @@
             ENGINES,
             customer?.let { CustomerId(it) },
             1,
-            homes,
+            homeRegions,
             passedOver,
             number?.let { WeightNumber(it) },
             promptTokens,
@@ -66,9 +66,9 @@
     )
 
     fun declare(number: Long) =
-        publication.take(listOf(item("op/version/model", 60 + number, Published.Declared(MODEL, WeightNumber(number)))), 60 + number, now)
+        publication.take(listOf(item("op/version/model", 60 + number, StoreRecord.VersionDeclaration(MODEL, WeightNumber(number)))), 60 + number, now)
 
-    fun evacuate(domain: DomainId) = publication.take(listOf(item("op/evacuate/${domain.text}", 90, Published.Evacuated(domain))), 90, now)
+    fun evacuate(domain: DomainId) = publication.take(listOf(item("op/evacuate/${domain.text}", 90, StoreRecord.DomainEvacuation(domain))), 90, now)
 }
 
 @OptIn(ExperimentalCoroutinesApi::class)
@@ -184,8 +184,8 @@
 
         test("homes bind, and all of them") {
             val scene = Scene(listOf(backEnd("a"), backEnd("c", FAR)))
-            scene.place(homes = listOf(setOf(RegionId("far-region")), emptySet())).target shouldBe TargetId("c")
-            val nowhere = scene.place(homes = listOf(setOf(RegionId("far-region")), setOf(RegionId("near-region"))))
+            scene.place(homeRegions = listOf(setOf(RegionId("far-region")), emptySet())).target shouldBe TargetId("c")
+            val nowhere = scene.place(homeRegions = listOf(setOf(RegionId("far-region")), setOf(RegionId("near-region"))))
             nowhere.getCompleted().shouldBeInstanceOf<Placement.Refused>()
         }
 
--- a/control/src/test/kotlin/lagoonrudder/control/direct/PublicationControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/direct/PublicationControllerTest.kt
@@ -8,7 +8,7 @@
 import io.kotest.matchers.nulls.shouldNotBeNull
 import io.kotest.matchers.shouldBe
 import lagoonrudder.control.strictInvariants
-import lagoonrudder.model.Published
+import lagoonrudder.model.StoreRecord
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.WeightNumber
 import kotlin.time.Duration.Companion.milliseconds
@@ -20,8 +20,8 @@
 
         test("an older configuration never takes the place of a newer one, whoever offers it") {
             val publication = PublicationController(strictInvariants())
-            publication.take(listOf(item("op/config", 7, Published.Serving(servingSet(9)))), 7, start)
-            publication.take(listOf(item("op/config", 5, Published.Serving(servingSet(4)))), 8, start)
+            publication.take(listOf(item("op/config", 7, StoreRecord.Configuration(servingSet(9)))), 7, start)
+            publication.take(listOf(item("op/config", 5, StoreRecord.Configuration(servingSet(4)))), 8, start)
             publication.serving?.revision?.number shouldBe 9
         }
 
@@ -61,26 +61,26 @@
         test("an entry that can no longer be read names no back end") {
             val publication = PublicationController(strictInvariants())
             publication.take(listOf(registered(backEnd("a"), 1)), 1, start)
-            publication.take(listOf(item("servers/a", 2, Published.Unusable("field slots"))), 2, start).unusable.size shouldBe 1
+            publication.take(listOf(item("servers/a", 2, StoreRecord.Unreadable("field slots"))), 2, start).unusable.size shouldBe 1
             publication.backEnds.size shouldBe 0
         }
 
         test("a declared version only rises") {
             val publication = PublicationController(strictInvariants())
-            publication.take(listOf(item("op/version/model", 3, Published.Declared(MODEL, WeightNumber(2)))), 3, start)
-            publication.take(listOf(item("op/version/model", 4, Published.Declared(MODEL, WeightNumber(1)))), 4, start + 1.seconds)
+            publication.take(listOf(item("op/version/model", 3, StoreRecord.VersionDeclaration(MODEL, WeightNumber(2)))), 3, start)
+            publication.take(listOf(item("op/version/model", 4, StoreRecord.VersionDeclaration(MODEL, WeightNumber(1)))), 4, start + 1.seconds)
             publication.declared(MODEL).shouldNotBeNull().number shouldBe WeightNumber(2)
         }
 
         test("a version that was declared before the start counts as declared long ago") {
             val publication = PublicationController(strictInvariants(), ageAtStart = 6.seconds)
-            publication.take(listOf(item("op/version/model", 3, Published.Declared(MODEL, WeightNumber(2)))), 3, start)
+            publication.take(listOf(item("op/version/model", 3, StoreRecord.VersionDeclaration(MODEL, WeightNumber(2)))), 3, start)
             publication.declaredBy(MODEL, start - 6.seconds).shouldNotBeNull().number shouldBe WeightNumber(2)
         }
 
         test("an evacuated failure domain is taken back when its item goes") {
             val publication = PublicationController(strictInvariants())
-            publication.take(listOf(item("op/evacuate/near", 3, Published.Evacuated(NEAR))), 3, start).evacuated shouldBe setOf(NEAR)
+            publication.take(listOf(item("op/evacuate/near", 3, StoreRecord.DomainEvacuation(NEAR))), 3, start).evacuated shouldBe setOf(NEAR)
             publication.take(listOf(item("op/evacuate/near", 4, null)), 4, start).evacuated shouldBe emptySet()
         }
 
@@ -94,7 +94,7 @@
 
         test("after a pause nothing is confirmed until the store or a peer answers") {
             val publication = PublicationController(strictInvariants())
-            publication.take(listOf(item("op/config", 1, Published.Serving(servingSet(1)))), 1, start)
+            publication.take(listOf(item("op/config", 1, StoreRecord.Configuration(servingSet(1)))), 1, start)
             publication.confirmed shouldBe true
             publication.doubt()
             publication.confirmed shouldBe false
--- a/control/src/test/kotlin/lagoonrudder/control/direct/SharesTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/direct/SharesTest.kt
@@ -11,7 +11,7 @@
 import lagoonrudder.control.strictInvariants
 import lagoonrudder.model.Address
 import lagoonrudder.model.HeldWeights
-import lagoonrudder.model.Published
+import lagoonrudder.model.StoreRecord
 import lagoonrudder.model.RequestKind
 import lagoonrudder.model.WeightNumber
 import kotlin.time.Duration.Companion.milliseconds
@@ -82,7 +82,7 @@
             val peers = PeerController(peer("self"), emptyList())
             peers.heard(peer("near-entry"), emptyMap(), 10.seconds)
             peers.heard(peer("far-entry", FAR), emptyMap(), 10.seconds)
-            publication.take(listOf(item("op/config", 1, Published.Serving(servingSet(1)))), 1, 1.seconds)
+            publication.take(listOf(item("op/config", 1, StoreRecord.Configuration(servingSet(1)))), 1, 1.seconds)
             publication.take((1..8).map { registered(backEnd("b$it"), it + 1L) }, 9, 2.seconds)
             return publication to StagingController(peers, publication, SwitchTurns(publication), REGIONS)
         }
@@ -91,7 +91,7 @@
             publication: PublicationController,
             number: Long,
         ) = publication.take(
-            listOf(item("op/version/model", 20 + number, Published.Declared(MODEL, WeightNumber(number)))),
+            listOf(item("op/version/model", 20 + number, StoreRecord.VersionDeclaration(MODEL, WeightNumber(number)))),
             20 + number,
             10.seconds,
         )
@@ -160,7 +160,7 @@
             val first = WeightNumber(2)
             declare(publication, 2)
             val before = publication.backEnds.map { staging.turn(ENGINES, it.address, report(1), first).shouldNotBeNull().at }
-            publication.take(listOf(item("op/version/model", 23, Published.Declared(MODEL, WeightNumber(3)))), 23, 12.seconds)
+            publication.take(listOf(item("op/version/model", 23, StoreRecord.VersionDeclaration(MODEL, WeightNumber(3)))), 23, 12.seconds)
             publication.backEnds.map { staging.turn(ENGINES, it.address, report(1), first).shouldNotBeNull().at } shouldBe before
         }
 
@@ -184,8 +184,8 @@
 
         test("no back end breaks off requests of a service that has a route whose requests can't go on elsewhere") {
             val (publication, staging) = scene()
-            val set = servingSet(2).copy(routes = listOf(route(RequestKind.Stream(resumable = false, longestPause = null))))
-            publication.take(listOf(item("op/config", 15, Published.Serving(set))), 15, 9.seconds)
+            val set = servingSet(2).copy(routes = listOf(route(RequestKind.Stream(resumable = false, maxEventGap = null))))
+            publication.take(listOf(item("op/config", 15, StoreRecord.Configuration(set))), 15, 9.seconds)
             declare(publication, 2)
             val turns = publication.backEnds.map { staging.turn(ENGINES, it.address, report(1), WeightNumber(2)).shouldNotBeNull() }
             turns.map { it.handover(it.at) }.toSet() shouldBe setOf(Handover.LET_END)
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/backend/HttpBackEnd.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/backend/HttpBackEnd.kt
@@ -38,7 +38,7 @@
 import lagoonrudder.control.EngineRole
 import lagoonrudder.control.EngineState
 import lagoonrudder.control.OrderResult
-import lagoonrudder.control.RecordedAnswer
+import lagoonrudder.control.RecordedResponse
 import lagoonrudder.daemon.platform.callWithTimeout
 import lagoonrudder.daemon.platform.read
 import lagoonrudder.daemon.platform.transportFailure
@@ -76,7 +76,7 @@
         work: Work.Plain,
         request: RequestId,
         limit: Duration,
-    ): Either<Failure, RecordedAnswer> =
+    ): Either<Failure, RecordedResponse> =
         callWithTimeout(Step.RUN, peer, limit) {
             val call =
                 client.prepareRequest {
@@ -138,11 +138,11 @@
             event?.right() ?: Failure.Damaged(Step.RUN, peer, "expected start, text or end in a response line, found none").left()
         }
 
-    private suspend fun plainResponse(response: HttpResponse): Either<Failure, RecordedAnswer> {
+    private suspend fun plainResponse(response: HttpResponse): Either<Failure, RecordedResponse> {
         val notRun = response.headers[NOT_RUN_HEADER] == "yes"
         if (notRun) return declined(response).left()
         val type = response.contentType()?.toString() ?: "application/octet-stream"
-        return RecordedAnswer(response.status.value, type, response.readRawBytes()).right()
+        return RecordedResponse(response.status.value, type, response.readRawBytes()).right()
     }
 
     private fun declined(response: HttpResponse) = Failure.Declined(Step.RUN, peer, "status ${response.status.value}")
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationSyncLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationSyncLoop.kt
@@ -25,20 +25,20 @@
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedChanges
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.SnapshotDelta
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.wire.documents.SealedHead
 import lagoonrudder.wire.documents.readHead
 import lagoonrudder.wire.documents.readParts
-import lagoonrudder.wire.documents.readWhole
+import lagoonrudder.wire.documents.readSet
 import lagoonrudder.wire.documents.writeChanges
-import lagoonrudder.wire.documents.writeWhole
+import lagoonrudder.wire.documents.writeSet
 import lagoonrudder.wire.messages.ExchangeMessage
 import lagoonrudder.wire.messages.ExchangeReply
 import lagoonrudder.wire.messages.OfferMessage
 import lagoonrudder.wire.messages.OfferReply
 import lagoonrudder.wire.messages.toMessage
-import lagoonrudder.wire.rpc.ExchangeAnswer
+import lagoonrudder.wire.rpc.ExchangeResult
 import java.util.concurrent.ConcurrentHashMap
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -90,13 +90,13 @@
     /** Applies a configuration, or the changes of one, that a peer forwarded. */
     suspend fun applyOffer(message: OfferMessage): OfferReply {
         val peer = Peer(PeerRole.ENTRY, message.sender)
-        if (message.whole) {
+        if (message.full) {
             offerFullText(message.text, peer)
             return OfferReply()
         }
         val head = readHead(message.text, peer).getOrElse { return reject(it) }
-        val changes = head.changes ?: return OfferReply(wholeNeeded = true)
-        return OfferReply(wholeNeeded = !offerChanges(changes, peer))
+        val changes = head.changes ?: return OfferReply(needsFullSet = true)
+        return OfferReply(needsFullSet = !offerChanges(changes, peer))
     }
 
     /** Replies to a peer that reports its revision and list generation with whatever is newer at this daemon. */
@@ -115,8 +115,8 @@
 
     /** The configuration of this process, and the changes of it and of the list of instances that a peer lacks. */
     private data class LocalState(
-        val set: SealedSet,
-        val changes: SealedChanges?,
+        val set: ObjectSnapshot,
+        val changes: SnapshotDelta?,
         val instances: InstanceChanges?,
     )
 
@@ -131,17 +131,17 @@
     )
 
     private fun isNewer(
-        current: SealedSet,
+        current: ObjectSnapshot,
         revision: Revision,
         digest: Digest,
     ): Boolean = current.revision > revision || (current.revision == revision && revision > Revision.NONE && current.digest > digest)
 
     private fun offerMessage(
-        current: SealedSet,
-        changes: SealedChanges?,
+        current: ObjectSnapshot,
+        changes: SnapshotDelta?,
     ): OfferMessage {
         val sender = core.settings.name.text
-        return if (changes == null) OfferMessage(sender, true, writeWhole(current)) else OfferMessage(sender, false, writeChanges(changes))
+        return if (changes == null) OfferMessage(sender, true, writeSet(current)) else OfferMessage(sender, false, writeChanges(changes))
     }
 
     /** Runs [watch] repeatedly while this daemon is a watcher, with exponential back-off while it fails. */
@@ -181,7 +181,7 @@
     }
 
     private suspend fun isWatcher(): Boolean =
-        core.thread.decide { core.spread.watches(core.membership.live(domain, core.clock.elapsed())) }
+        core.thread.decide { core.spread.shouldWatch(core.membership.liveDaemons(domain, core.clock.elapsed())) }
 
     private suspend fun readHeadFromPlatform(timeout: Duration) {
         core.platform.head(timeout).fold({ core.log.failure("configuration-read-failed", it) }) { value ->
@@ -226,12 +226,12 @@
         text: String,
         peer: Peer,
     ) {
-        readWhole(text, peer).fold({ reject(it) }) { offerFull(it, peer) }
+        readSet(text, peer).fold({ reject(it) }) { offerFull(it, peer) }
     }
 
     /** Offers changes to the controller; returns false when the full set is required. */
     private suspend fun offerChanges(
-        changes: SealedChanges,
+        changes: SnapshotDelta,
         peer: Peer,
     ): Boolean {
         val current = core.thread.decide { core.configuration.current }
@@ -240,19 +240,19 @@
         if (!startsFrom(changes, current)) return false
         val checked = CheckedSet.ofChanges(changes, current, peer).getOrElse { return true.also { _ -> reject(it) } }
         return when (activate(checked)) {
-            ConfigurationOutcome.BaseMoved -> offerChanges(changes, peer)
+            ConfigurationOutcome.BaseChanged -> offerChanges(changes, peer)
             else -> true
         }
     }
 
     private suspend fun offerFull(
-        offered: SealedSet,
+        offered: ObjectSnapshot,
         peer: Peer,
     ) {
         val current = core.thread.decide { core.configuration.current }
         if (offered.revision < current.revision) return
-        val checked = CheckedSet.ofWhole(offered, current, peer).getOrElse { return reject(it).let { } }
-        if (activate(checked) is ConfigurationOutcome.BaseMoved) offerFull(offered, peer)
+        val checked = CheckedSet.ofFullSet(offered, current, peer).getOrElse { return reject(it).let { } }
+        if (activate(checked) is ConfigurationOutcome.BaseChanged) offerFull(offered, peer)
     }
 
     private suspend fun activate(checked: CheckedSet): ConfigurationOutcome {
@@ -264,8 +264,8 @@
             }
         when (outcome) {
             is ConfigurationOutcome.Accepted -> onAccepted(outcome, checked.peer)
-            is ConfigurationOutcome.Superseded -> if (outcome.twin) reportConflict(checked)
-            ConfigurationOutcome.Known, ConfigurationOutcome.BaseMoved -> Unit
+            is ConfigurationOutcome.Superseded -> if (outcome.conflicting) reportConflict(checked)
+            ConfigurationOutcome.Known, ConfigurationOutcome.BaseChanged -> Unit
         }
         return outcome
     }
@@ -277,7 +277,7 @@
         val revision = outcome.set.revision
         core.metrics.count("configuration.accepted", "accepted")
         core.log.info("configuration-accepted", "revision" to revision.number, "digest" to outcome.set.digest.hexadecimal, "peer" to peer)
-        if (outcome.replacedTwin) core.log.error("configuration-twins", "revision" to revision.number, "peer" to peer, "kept" to "offered")
+        if (outcome.wonConflict) core.log.error("configuration-twins", "revision" to revision.number, "peer" to peer, "kept" to "offered")
         core.scope.launch { forward(outcome) }
     }
 
@@ -287,7 +287,7 @@
     }
 
     private suspend fun reject(failure: Failure): OfferReply {
-        core.thread.decide { core.configuration.rejected() }
+        core.thread.decide { core.configuration.onRejected() }
         core.metrics.count("configuration.rejected", failure.step.name.lowercase())
         core.log.failure("configuration-rejected", failure)
         return OfferReply()
@@ -297,7 +297,7 @@
         val children =
             core.thread.decide {
                 core.spread
-                    .children(outcome.set.revision, core.membership.live(domain, core.clock.elapsed()))
+                    .children(outcome.set.revision, core.membership.liveDaemons(domain, core.clock.elapsed()))
                     .mapNotNull(core.membership::instance)
             }
         if (children.isEmpty()) return
@@ -308,11 +308,11 @@
     private suspend fun forwardTo(
         child: Instance,
         message: OfferMessage,
-        set: SealedSet,
+        set: ObjectSnapshot,
     ) {
         val reply = core.rpc.offer(child.address, message, OFFER_TIMEOUT)
-        val needsFull = reply.fold({ onOfferFailed(child.daemon, it) }, { it.wholeNeeded })
-        if (needsFull) core.rpc.offer(child.address, OfferMessage(core.settings.name.text, true, writeWhole(set)), OFFER_TIMEOUT)
+        val needsFull = reply.fold({ onOfferFailed(child.daemon, it) }, { it.needsFullSet })
+        if (needsFull) core.rpc.offer(child.address, OfferMessage(core.settings.name.text, true, writeSet(set)), OFFER_TIMEOUT)
     }
 
     private suspend fun onOfferFailed(
@@ -341,8 +341,8 @@
     }
 
     private fun peerOfOwnDomain(): Instance? {
-        val live = core.membership.live(domain, core.clock.elapsed())
-        return core.spread.exchangePeer(live)?.let(core.membership::instance)
+        val liveDaemons = core.membership.liveDaemons(domain, core.clock.elapsed())
+        return core.spread.exchangePeer(liveDaemons)?.let(core.membership::instance)
     }
 
     private fun peerOfOtherDomain(): Instance? =
@@ -380,19 +380,19 @@
     }
 
     private suspend fun applyReply(
-        reply: ExchangeAnswer,
+        reply: ExchangeResult,
         peer: Address,
-        own: SealedSet,
+        own: ObjectSnapshot,
     ) {
         reply.instances?.let { changes -> core.thread.decide { if (core.membership.apply(changes)) onChange() } }
         val offer = reply.offer
         if (offer != null) {
-            val needsFull = applyOffer(offer).wholeNeeded
+            val needsFull = applyOffer(offer).needsFullSet
             if (needsFull) core.rpc.exchange(peer, ExchangeMessage(), OFFER_TIMEOUT).onRight { full -> full.offer?.let { applyOffer(it) } }
             return
         }
         val isPeerBehind = isNewer(own, reply.revision, reply.digest)
-        if (isPeerBehind) core.rpc.offer(peer, OfferMessage(core.settings.name.text, true, writeWhole(own)), OFFER_TIMEOUT)
+        if (isPeerBehind) core.rpc.offer(peer, OfferMessage(core.settings.name.text, true, writeSet(own)), OFFER_TIMEOUT)
     }
 
     private companion object {
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntryDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntryDaemon.kt
@@ -14,10 +14,10 @@
 import lagoonrudder.http.HttpServer
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.TargetId
-import lagoonrudder.platform.BackEndEnd
-import lagoonrudder.platform.CallerEnd
+import lagoonrudder.platform.BackEndHttpClient
+import lagoonrudder.platform.CallerRequestHandler
 import lagoonrudder.platform.DEFAULT_LIMITS
-import lagoonrudder.platform.ReadyEnd
+import lagoonrudder.platform.ReadinessRequestHandler
 import lagoonrudder.traffic.FilterChain
 import lagoonrudder.traffic.direct.DirectCall
 import lagoonrudder.traffic.direct.DirectControl
@@ -60,11 +60,11 @@
 
     override suspend fun start() {
         val listen = checkNotNull(settings.listen)
-        val chain = FilterChain(directFilters(control, BackEndEnd(core.http), random, ::recordRequestEnd))
+        val chain = FilterChain(directFilters(control, BackEndHttpClient(core.http), random, ::recordRequestEnd))
         val endpoint = PeerEndpoint(core, chunks, placement::inFlight, ::onStoreViewChanged)
         HttpServer.start(core.loop, core.scope, listen.peers, { HttpServer.PEER_LIMITS }, endpoint)
-        HttpServer.start(core.loop, core.scope, listen.ready, { HttpServer.PEER_LIMITS }, ReadyEnd { isReady() })
-        callers = HttpServer.start(core.loop, core.scope, listen.callers, { limits }, CallerEnd(chain, core.clock))
+        HttpServer.start(core.loop, core.scope, listen.ready, { HttpServer.PEER_LIMITS }, ReadinessRequestHandler { isReady() })
+        callers = HttpServer.start(core.loop, core.scope, listen.callers, { limits }, CallerRequestHandler(chain, core.clock))
         startOperatorServer(this)
         core.scope.launch { store.run() }
         core.scope.launch { peers.run() }
@@ -76,15 +76,15 @@
         val started = core.clock.elapsed()
         val server = callers ?: return
         isShuttingDown = true
-        core.log.info("leaving", "in-hand" to server.inHand)
+        core.log.info("leaving", "in-hand" to server.activeRequests)
         delay(LOAD_BALANCER_DRAIN_TIME)
-        server.retire()
+        server.drain()
         val deadline = started + settings.bounds.stopGrace - SHUTDOWN_MARGIN
         delay(CONNECTION_DRAIN_TIME)
         // A request that is read just before the process exits would get no response.
         server.stopReading()
-        while (server.inHand > 0 && core.clock.elapsed() < deadline) delay(SHUTDOWN_CHECK_INTERVAL)
-        core.log.info("stopped", "in-hand" to server.inHand, "took" to core.clock.elapsed() - started)
+        while (server.activeRequests > 0 && core.clock.elapsed() < deadline) delay(SHUTDOWN_CHECK_INTERVAL)
+        core.log.info("stopped", "in-hand" to server.activeRequests, "took" to core.clock.elapsed() - started)
     }
 
     /** Applies a change of the published state. Runs on the control thread. */
@@ -106,7 +106,7 @@
             expired.forEach { core.log.info("back-end-gone", "target" to it.text, "source" to "lapsed") }
             if (pause != null) {
                 core.log.warning("paused", "for" to pause)
-                core.http.forget(settings.store)
+                core.http.closeIdle(settings.store)
                 store.pollNow()
             }
         }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectSettings.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectSettings.kt
@@ -67,7 +67,7 @@
     either {
         val sections = readIni(text, file, Step.READ_SETTINGS).bind().associateBy { it.name }
         val daemon = section(sections, file, "daemon")
-        val role = with(daemon) { choice("role", DaemonRole.entries) }
+        val role = with(daemon) { enumValue("role", DaemonRole.entries) }
         DirectSettings(
             name = with(daemon) { DaemonId(text("name")) },
             role = role,
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/GossipLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/GossipLoop.kt
@@ -16,14 +16,14 @@
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.rendezvousOrder
 import lagoonrudder.platform.readItem
-import lagoonrudder.wire.messages.WordMessage
-import lagoonrudder.wire.messages.WordReply
+import lagoonrudder.wire.messages.GossipMessage
+import lagoonrudder.wire.messages.GossipReply
 import lagoonrudder.wire.messages.toItem
 import lagoonrudder.wire.messages.toLoads
 import lagoonrudder.wire.messages.toMessage
 import lagoonrudder.wire.messages.toMessages
 import lagoonrudder.wire.messages.toPeer
-import lagoonrudder.wire.messages.toSighting
+import lagoonrudder.wire.messages.toLivePeer
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
@@ -60,7 +60,7 @@
     /** Sends [slot] to all live entry daemons at once, without waiting for the next round. */
     suspend fun announce() {
         val addresses = core.thread.decide { core.peers.liveEntries(core.clock.elapsed()).mapNotNull { it.address } }
-        addresses.forEach { address -> core.scope.launch { exchange(address, wantsPeers = false) } }
+        addresses.forEach { address -> core.scope.launch { exchange(address, peersRequested = false) } }
     }
 
     private suspend fun exchangeWithAll() {
@@ -78,7 +78,7 @@
         var failures = 0
         var round = 0
         while (currentCoroutineContext().isActive) {
-            val replied = exchange(address, wantsPeers = round++ % ROUNDS_PER_PEER_LIST == 0)
+            val replied = exchange(address, peersRequested = round++ % ROUNDS_PER_PEER_LIST == 0)
             failures = if (replied) 0 else failures + 1
             val interval = if (address in sameRegionPeers) EXCHANGE_INTERVAL else CROSS_REGION_EXCHANGE_INTERVAL
             delay(if (replied) interval else (RETRY_DELAY * failures).coerceAtMost(MAX_RETRY_DELAY))
@@ -97,7 +97,7 @@
         var failures = 0
         while (currentCoroutineContext().isActive) {
             val candidates = core.thread.decide { candidates() }
-            val replied = candidates.isNotEmpty() && exchange(candidates[failures % candidates.size], wantsPeers = true)
+            val replied = candidates.isNotEmpty() && exchange(candidates[failures % candidates.size], peersRequested = true)
             if (!replied) failures++
             delay(if (replied) TARGET_EXCHANGE_INTERVAL else RETRY_DELAY)
         }
@@ -111,9 +111,9 @@
 
     private suspend fun exchange(
         address: Address,
-        wantsPeers: Boolean,
+        peersRequested: Boolean,
     ): Boolean {
-        val message = core.thread.decide { gossipMessage(wantsPeers) }
+        val message = core.thread.decide { gossipMessage(peersRequested) }
         return when (val reply = client.gossip(address, message)) {
             is Either.Left -> false
             is Either.Right -> {
@@ -124,21 +124,21 @@
         }
     }
 
-    private fun gossipMessage(wantsPeers: Boolean): WordMessage {
+    private fun gossipMessage(peersRequested: Boolean): GossipMessage {
         val isLagging = behindSince?.let { core.clock.elapsed() - it > MAX_STORE_LAG } ?: false
-        val wantsItems = isLagging || !core.publication.confirmed || core.self.role == DaemonRole.TARGET
-        return WordMessage(
+        val itemsRequested = isLagging || !core.publication.confirmed || core.self.role == DaemonRole.TARGET
+        return GossipMessage(
             core.self.toMessage(),
             core.publication.at,
-            wantsItems,
+            itemsRequested,
             loads().toMessages(),
             slot?.toMessage(),
-            wantsPeers,
+            peersRequested,
         )
     }
 
     private suspend fun applyReply(
-        reply: WordReply,
+        reply: GossipReply,
         address: Address,
     ) {
         val items = reply.items.map { readItem(it.toItem()) }
@@ -146,7 +146,7 @@
             core.thread.decide {
                 val now = core.clock.elapsed()
                 core.peers.heard(reply.self.toPeer(), reply.loads.toLoads(), now)
-                core.peers.sighted(reply.sightings.map { it.toSighting() }, now)
+                core.peers.sighted(reply.sightings.map { it.toLivePeer() }, now)
                 val isBehind = reply.at > core.publication.at
                 if (!isBehind) {
                     behindSince = null
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerClient.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerClient.kt
@@ -21,8 +21,8 @@
 import lagoonrudder.model.WeightNumber
 import lagoonrudder.wire.messages.MalformedMessage
 import lagoonrudder.wire.messages.ManifestMessage
-import lagoonrudder.wire.messages.WordMessage
-import lagoonrudder.wire.messages.WordReply
+import lagoonrudder.wire.messages.GossipMessage
+import lagoonrudder.wire.messages.GossipReply
 import lagoonrudder.wire.messages.decodeMessage
 import lagoonrudder.wire.messages.encodeMessage
 import lagoonrudder.wire.messages.toManifest
@@ -42,10 +42,10 @@
 ) {
     suspend fun gossip(
         address: Address,
-        message: WordMessage,
-    ): Either<Failure, WordReply> {
-        val request = HttpRequest("POST", PeerPaths.GOSSIP, emptyList(), encodeMessage(WordMessage.serializer(), message))
-        return call(address, request, GOSSIP_TIMEOUT).flatMap { decode(address, WordReply.serializer(), it) }
+        message: GossipMessage,
+    ): Either<Failure, GossipReply> {
+        val request = HttpRequest("POST", PeerPaths.GOSSIP, emptyList(), encodeMessage(GossipMessage.serializer(), message))
+        return call(address, request, GOSSIP_TIMEOUT).flatMap { decode(address, GossipReply.serializer(), it) }
     }
 
     suspend fun manifest(
@@ -79,7 +79,7 @@
             http.exchange(address, request, peer, timeout).flatMap {
                 if (it.head.status == OK) it.right() else Failure.Declined(Step.SEND, peer, "status ${it.head.status}, expected 200").left()
             }
-        if (result is Either.Left && result.value is Failure.TimedOut) http.forget(address)
+        if (result is Either.Left && result.value is Failure.TimedOut) http.closeIdle(address)
         return result
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerEndpoint.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerEndpoint.kt
@@ -13,15 +13,15 @@
 import lagoonrudder.model.WeightNumber
 import lagoonrudder.wire.messages.MalformedMessage
 import lagoonrudder.wire.messages.ManifestMessage
-import lagoonrudder.wire.messages.WordMessage
-import lagoonrudder.wire.messages.WordReply
+import lagoonrudder.wire.messages.GossipMessage
+import lagoonrudder.wire.messages.GossipReply
 import lagoonrudder.wire.messages.decodeMessage
 import lagoonrudder.wire.messages.encodeMessage
 import lagoonrudder.wire.messages.toLoads
 import lagoonrudder.wire.messages.toMessage
 import lagoonrudder.wire.messages.toMessages
 import lagoonrudder.wire.messages.toPeer
-import lagoonrudder.wire.messages.toWord
+import lagoonrudder.wire.messages.toSlotWord
 
 class PeerEndpoint(
     private val core: DirectCore,
@@ -46,20 +46,20 @@
     private suspend fun gossip(exchange: HttpExchange) {
         val message =
             try {
-                decodeMessage(WordMessage.serializer(), exchange.request.body)
+                decodeMessage(GossipMessage.serializer(), exchange.request.body)
             } catch (malformed: MalformedMessage) {
                 core.log.warning("gossip-malformed", "detail" to malformed.message)
                 exchange.respond(BAD_REQUEST, emptyList(), NO_BYTES)
                 return
             }
         val reply = core.thread.decide { replyTo(message) }
-        exchange.respond(OK, emptyList(), encodeMessage(WordReply.serializer(), reply))
+        exchange.respond(OK, emptyList(), encodeMessage(GossipReply.serializer(), reply))
     }
 
-    private fun replyTo(message: WordMessage): WordReply {
+    private fun replyTo(message: GossipMessage): GossipReply {
         val now = core.clock.elapsed()
         core.peers.heard(message.self.toPeer(), message.loads.toLoads(), now)
-        val slot = message.slot?.toWord()
+        val slot = message.slot?.toSlotWord()
         if (slot != null && core.slots.heard(slot, now)) {
             core.log.info(
                 "slot-heard",
@@ -70,12 +70,12 @@
             )
             onSlotChanged()
         }
-        return WordReply(
+        return GossipReply(
             self = core.self.toMessage(),
             at = core.publication.settledAt,
             loads = loads().toMessages(),
-            sightings = if (message.wantsPeers) core.peers.sightings(now).map { it.toMessage() } else emptyList(),
-            items = if (message.wantsItems) core.publication.changesSince(message.at).map { it.toMessage() } else emptyList(),
+            sightings = if (message.peersRequested) core.peers.sightings(now).map { it.toMessage() } else emptyList(),
+            items = if (message.itemsRequested) core.publication.changesSince(message.at).map { it.toMessage() } else emptyList(),
         )
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StagingLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StagingLoop.kt
@@ -24,7 +24,7 @@
 import lagoonrudder.control.direct.WeightManifest
 import lagoonrudder.model.WeightNumber
 import lagoonrudder.model.digestOf
-import lagoonrudder.platform.SlotCalls
+import lagoonrudder.platform.SlotClient
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
@@ -34,7 +34,7 @@
     private val peers: GossipLoop,
     private val fetcher: WeightFetcher,
 ) {
-    private val backEnd = SlotCalls(core.http, slot.backEnd)
+    private val backEnd = SlotClient(core.http, slot.backEnd)
     private var manifest: WeightManifest? = null
     private val stagedChunks = mutableSetOf<Int>()
     private var verifiedAt: Duration? = null
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StoreSyncLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StoreSyncLoop.kt
@@ -15,7 +15,7 @@
 import lagoonrudder.control.direct.PublicationChange
 import lagoonrudder.model.Failure
 import lagoonrudder.platform.StoreClient
-import lagoonrudder.platform.StoreWatch
+import lagoonrudder.platform.StoreWatchResult
 import lagoonrudder.platform.readItem
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -85,11 +85,11 @@
         val after = core.thread.decide { core.publication.at }
         return store.watch(after, wait).map { watched ->
             when (watched) {
-                is StoreWatch.Changes -> {
+                is StoreWatchResult.Changes -> {
                     val items = watched.answer.items.map { readItem(it) }
                     applyUpdate { core.publication.take(items, watched.answer.at, core.clock.elapsed()) }
                 }
-                StoreWatch.HistoryLost -> {
+                StoreWatchResult.HistoryLost -> {
                     core.log.warning("store-history-lost", "after" to after)
                     needsFullRead = true
                 }
@@ -108,7 +108,7 @@
             lostSince = now
             core.log.failure("store-lost", failure)
         }
-        core.http.forget(core.settings.store)
+        core.http.closeIdle(core.settings.store)
         failures++
         delay((INITIAL_RETRY_DELAY * failures).coerceAtMost(MAX_RETRY_DELAY))
     }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/WeightFetcher.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/WeightFetcher.kt
@@ -17,7 +17,7 @@
 import lagoonrudder.model.Step
 import lagoonrudder.model.WeightNumber
 import lagoonrudder.model.digestOf
-import lagoonrudder.platform.OriginCalls
+import lagoonrudder.platform.OriginClient
 
 class WeightFetcher(
     private val core: DirectCore,
@@ -31,7 +31,7 @@
         fetchFromFirst(sources, "manifest ${model.text}") { source ->
             when (source) {
                 is PieceSource.Entry -> peers.manifest(source.address, model, number)
-                is PieceSource.Origin -> OriginCalls(core.http, source.address).manifest(model, number)
+                is PieceSource.Origin -> OriginClient(core.http, source.address).manifest(model, number)
             }
         }
 
@@ -45,7 +45,7 @@
                 when (source) {
                     is PieceSource.Entry -> peers.chunk(source.address, manifest.model, manifest.number, index)
                     is PieceSource.Origin ->
-                        OriginCalls(core.http, source.address).piece(manifest.model, manifest.number, index)
+                        OriginClient(core.http, source.address).piece(manifest.model, manifest.number, index)
                 }
             fetched.flatMap { bytes ->
                 val matches = digestOf(bytes) == manifest.digests[index]
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/entry/EntryDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/entry/EntryDaemon.kt
@@ -8,9 +8,9 @@
 import kotlinx.coroutines.launch
 import lagoonrudder.control.AdmissionController
 import lagoonrudder.control.DumpSection
-import lagoonrudder.control.ReaderMemoryController
+import lagoonrudder.control.ResponseBufferController
 import lagoonrudder.control.RoutingController
-import lagoonrudder.control.ServiceState
+import lagoonrudder.control.ServingState
 import lagoonrudder.control.UploadController
 import lagoonrudder.daemon.Daemon
 import lagoonrudder.daemon.DaemonAddresses
@@ -54,7 +54,7 @@
             membership = core.membership,
             routing = RoutingController(settings.name.text, settings.domain, core.options.choice, core.random),
             admission = AdmissionController(core.options.queue, settings.limits.queue, core.invariants),
-            readers = ReaderMemoryController(core.options.readers ?: settings.limits.readers, core.invariants),
+            readers = ResponseBufferController(core.options.readers ?: settings.limits.readers, core.invariants),
             service = core.service,
         )
     private val reports = TargetReportLoop(core, control)
@@ -80,8 +80,8 @@
     }
 
     override suspend fun stop() {
-        core.log.info("leaving", "in-hand" to core.thread.decide { core.service.inHand() })
-        core.thread.decide { core.service.leave() }
+        core.log.info("leaving", "in-hand" to core.thread.decide { core.service.active() })
+        core.thread.decide { core.service.beginShutdown() }
         core.service.drained.await()
         core.log.info("stopped")
         close()
@@ -95,11 +95,11 @@
         core.close()
     }
 
-    override fun ready(): Boolean = core.service.state(core.configuration.current.objects, mayServe()) is ServiceState.Serving
+    override fun ready(): Boolean = core.service.state(core.configuration.current.objects, mayServe()) is ServingState.Serving
 
     override fun status(): String =
         "name=${settings.name.text} role=entry domain=${settings.domain.text} ready=${ready()} " +
-            "revision=${core.configuration.current.revision.number} in-hand=${core.service.inHand()} violations=${core.invariants.total()}"
+            "revision=${core.configuration.current.revision.number} in-hand=${core.service.active()} violations=${core.invariants.total()}"
 
     override fun dump(): List<DumpSection> = control.dump() + uploads.dump()
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/entry/TargetReportLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/entry/TargetReportLoop.kt
@@ -61,7 +61,7 @@
     ) {
         while (core.scope.isActive) {
             readStream(target, instance)
-            core.thread.decide { control.unlinked(target) }
+            core.thread.decide { control.onDisconnected(target) }
             delay(RECONNECT_DELAY)
         }
     }
@@ -96,8 +96,8 @@
     ): Boolean {
         if (report.target != target) return false
         core.thread.decide {
-            control.membership.alive(instance.daemon)
-            control.reported(report)
+            control.membership.clearSuspicion(instance.daemon)
+            control.onTargetReport(report)
         }
         return true
     }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/front/CallerServer.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/front/CallerServer.kt
@@ -41,7 +41,7 @@
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Step
 import lagoonrudder.traffic.FilterChain
 import lagoonrudder.traffic.entry.CallerRequest
@@ -124,7 +124,7 @@
                 .header(HttpHeaders.Authorization)
                 .orEmpty()
                 .removePrefix("Bearer "),
-        key = call.request.header(IDEMPOTENCY_KEY_HEADER)?.let(::RepeatKey),
+        key = call.request.header(IDEMPOTENCY_KEY_HEADER)?.let(::IdempotencyKey),
         contentType = call.request.header(HttpHeaders.ContentType).orEmpty(),
         body = body,
     )
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/observe/DaemonMetrics.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/observe/DaemonMetrics.kt
@@ -23,8 +23,8 @@
     private val registry = PrometheusMeterRegistry(PrometheusConfig.DEFAULT)
 
     init {
-        Gauge.builder("lagoonrudder.control.decisions", thread) { it.work().decisions.toDouble() }.register(registry)
-        Gauge.builder("lagoonrudder.control.busy.seconds", thread) { it.work().busy.toDouble(DurationUnit.SECONDS) }.register(registry)
+        Gauge.builder("lagoonrudder.control.decisions", thread) { it.usage().decisions.toDouble() }.register(registry)
+        Gauge.builder("lagoonrudder.control.busy.seconds", thread) { it.usage().busy.toDouble(DurationUnit.SECONDS) }.register(registry)
         Gauge.builder("lagoonrudder.control.lag.seconds", thread) { it.lag().toDouble(DurationUnit.SECONDS) }.register(registry)
         for (invariant in Invariant.entries) {
             Gauge
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
@@ -7,11 +7,11 @@
 import kotlinx.coroutines.isActive
 import kotlinx.coroutines.launch
 import lagoonrudder.control.DumpSection
-import lagoonrudder.control.Holder
-import lagoonrudder.control.LimitController
-import lagoonrudder.control.RepeatController
-import lagoonrudder.control.SwitchController
-import lagoonrudder.control.WeightController
+import lagoonrudder.control.WeightHolder
+import lagoonrudder.control.ConcurrencyLimitController
+import lagoonrudder.control.IdempotencyController
+import lagoonrudder.control.VersionSwitchController
+import lagoonrudder.control.WeightFetchController
 import lagoonrudder.daemon.Daemon
 import lagoonrudder.daemon.DaemonAddresses
 import lagoonrudder.daemon.DaemonCore
@@ -49,10 +49,10 @@
             incarnation = core.incarnation,
             configuration = core.configuration,
             membership = core.membership,
-            limits = LimitController(core.options.limit, core.invariants),
-            repeats = RepeatController(slot.target, core.options.repeats, core.invariants, core.clock.now(), startedAt),
-            switch = SwitchController(slot.target, startedAt),
-            weights = WeightController(self(), core.options.sources, settings.limits.weights, core.invariants),
+            limits = ConcurrencyLimitController(core.options.limit, core.invariants),
+            repeats = IdempotencyController(slot.target, core.options.repeats, core.invariants, core.clock.now(), startedAt),
+            switch = VersionSwitchController(slot.target, startedAt),
+            weights = WeightFetchController(self(), core.options.sources, settings.limits.weights, core.invariants),
             service = core.service,
         )
     private val weights = WeightDistributionLoop(core, control, backEnd, origin) { switch.wake() }
@@ -82,13 +82,13 @@
     }
 
     override suspend fun stop() {
-        core.log.info("leaving", "in-hand" to core.thread.decide { core.service.inHand() })
+        core.log.info("leaving", "in-hand" to core.thread.decide { core.service.active() })
         core.thread.decide {
-            core.service.leave()
+            core.service.beginShutdown()
             control.publish()
         }
         core.service.drained.await()
-        rpcServer?.leave()
+        rpcServer?.beginShutdown()
         delay(RESPONSE_FLUSH_TIME)
         core.log.info("stopped")
         close()
@@ -103,17 +103,17 @@
     override fun ready(): Boolean = control.closed() == null && control.switch.refusal() == null
 
     override fun status(): String {
-        val room = control.limits.room()
+        val load = control.limits.load()
         return "name=${settings.name.text} role=target domain=${settings.domain.text} target=${slot.target.text} ready=${ready()} " +
-            "revision=${core.configuration.current.revision.number} version=${control.switch.serving()?.text} " +
-            "switch=${control.switch.status().name.lowercase()} limit=${room.limit} in-flight=${room.inFlight} " +
+            "revision=${core.configuration.current.revision.number} version=${control.switch.servingVersion()?.text} " +
+            "switch=${control.switch.status().name.lowercase()} limit=${load.limit} in-flight=${load.inFlight} " +
             "violations=${core.invariants.total()}"
     }
 
     override fun dump(): List<DumpSection> = control.dump()
 
     /** Uses the failure domain in place of its region until a configuration names the region. */
-    private fun self() = Holder(settings.name, settings.domain, RegionId(settings.domain.text))
+    private fun self() = WeightHolder(settings.name, settings.domain, RegionId(settings.domain.text))
 
     private fun onConfigurationChanged() {
         control.configured()
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/VersionSwitchLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/VersionSwitchLoop.kt
@@ -10,7 +10,7 @@
 import lagoonrudder.control.EngineOrder
 import lagoonrudder.control.EngineState
 import lagoonrudder.control.OrderResult
-import lagoonrudder.control.SwitchController
+import lagoonrudder.control.VersionSwitchController
 import lagoonrudder.control.SwitchStatus
 import lagoonrudder.control.SwitchStep
 import lagoonrudder.daemon.DaemonCore
@@ -53,13 +53,13 @@
             }
         core.thread.decide { control.publish() }
         when (step) {
-            SwitchStep.Rest -> waitAndReadEngine(ENGINE_READ_INTERVAL)
+            SwitchStep.NoAction -> waitAndReadEngine(ENGINE_READ_INTERVAL)
             SwitchStep.ReadEngine -> readEngine()
-            SwitchStep.DrawWeights -> waitAndReadEngine(ENGINE_READ_INTERVAL)
+            SwitchStep.FetchWeights -> waitAndReadEngine(ENGINE_READ_INTERVAL)
             SwitchStep.Drain -> awaitWakeUp(DRAIN_CHECK_INTERVAL)
-            is SwitchStep.AskOthers -> queryTargets(step.targets)
-            is SwitchStep.Give -> sendOrder(step.order)
-            is SwitchStep.WaitOut -> awaitWakeUp(step.until - core.clock.elapsed())
+            is SwitchStep.QueryTargets -> queryTargets(step.targets)
+            is SwitchStep.SendOrder -> sendOrder(step.order)
+            is SwitchStep.AwaitOrderTimeout -> awaitWakeUp(step.until - core.clock.elapsed())
         }
     }
 
@@ -77,7 +77,7 @@
         backEnd.state(READ_TIMEOUT).fold(
             { failure ->
                 core.thread.decide {
-                    control.switch.engineLost()
+                    control.switch.onEngineLost()
                     control.publish()
                 }
                 core.log.failure("engine-read-failed", failure)
@@ -92,7 +92,7 @@
         lastIncarnation = state.incarnation
         core.thread.decide {
             control.switch.read(state)
-            control.limits.observe(state.incarnation)
+            control.limits.onEngineIncarnation(state.incarnation)
             if (restarted) weights.onEngineRestarted()
             control.publish()
         }
@@ -105,14 +105,14 @@
         for (target in targets) {
             val instance = core.thread.decide { core.membership.daemonOf(target) }
             val report = instance?.let { core.rpc.switchReport(it, QUERY_TIMEOUT).getOrNull() }
-            core.thread.decide { control.switch.heard(target, report?.version, report?.status, core.clock.elapsed()) }
+            core.thread.decide { control.switch.onSwitchReport(target, report?.version, report?.status, core.clock.elapsed()) }
         }
         awaitWakeUp(QUERY_INTERVAL)
     }
 
     private suspend fun sendOrder(order: EngineOrder) {
-        val result = backEnd.order(order, SwitchController.ORDER_LIFE)
-        core.thread.decide { control.switch.ordered(order, result) }
+        val result = backEnd.order(order, VersionSwitchController.ORDER_TIMEOUT)
+        core.thread.decide { control.switch.onOrderResult(order, result) }
         core.log.info("engine-order-sent", "order" to order, "result" to result)
         if (result is OrderResult.Unknown) awaitWakeUp(RETRY_DELAY)
     }
@@ -123,7 +123,7 @@
         lastStatus = status
         val version = core.thread.decide { control.wantedVersion()?.id?.text }
         core.log.info("switch-status", "status" to status.name.lowercase(), "version" to version)
-        if (status == SwitchStatus.SERVING) core.thread.decide { control.weights.release() }
+        if (status == SwitchStatus.SERVING) core.thread.decide { control.weights.onVersionLoaded() }
         if (status == SwitchStatus.FAILED) core.log.error("switch-failed", "version" to version, "action" to "wave-stopped")
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/WeightDistributionLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/WeightDistributionLoop.kt
@@ -13,9 +13,9 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import lagoonrudder.control.ChunkDecision
 import lagoonrudder.control.ChunkSource
-import lagoonrudder.control.DrawDecision
-import lagoonrudder.control.DrawResult
-import lagoonrudder.control.WeightPlan
+import lagoonrudder.control.FetchDecision
+import lagoonrudder.control.FetchResult
+import lagoonrudder.control.ChunkSourcePlan
 import lagoonrudder.daemon.ChunkService
 import lagoonrudder.daemon.DaemonCore
 import lagoonrudder.daemon.platform.WeightOrigin
@@ -59,7 +59,7 @@
 
     /** Updates the fetch plan after the wanted version or the holders may have changed. Runs on the control thread. */
     fun onConfigurationChanged() {
-        control.weights.replan(control.holders())
+        control.weights.updateHolders(control.holders())
         wakeSignal.trySend(Unit)
     }
 
@@ -72,7 +72,7 @@
     /** Resets the progress after a restart of the engine, which then has no chunks. Runs on the control thread. */
     fun onEngineRestarted() {
         deliveredChunks.clear()
-        control.weights.restart()
+        control.weights.onEngineReset()
         wakeSignal.trySend(Unit)
     }
 
@@ -92,7 +92,7 @@
         while (true) {
             val seenArrivals = arrivals.value
             findChunk(version, chunk)?.let { return it }
-            val isUnobtainable = core.thread.decide { control.weights.draws(version) && !willHoldLater(version) }
+            val isUnobtainable = core.thread.decide { control.weights.isFetching(version) && !willHoldLater(version) }
             if (isUnobtainable) return null
             arrivals.first { it != seenArrivals }
         }
@@ -130,9 +130,9 @@
         if (!prepare(wanted)) return awaitWakeUp(MANIFEST_RETRY_DELAY)
         val now = core.clock.elapsed()
         when (val decision = core.thread.decide { control.weights.next(now) }) {
-            is DrawDecision.Draw -> core.scope.launch { fetch(decision, wanted) }
-            is DrawDecision.Wait -> awaitWakeUp((decision.until - now).coerceIn(MIN_WAIT, MAX_WAIT))
-            DrawDecision.Busy, DrawDecision.Complete -> wakeSignal.receive()
+            is FetchDecision.Fetch -> core.scope.launch { fetch(decision, wanted) }
+            is FetchDecision.Wait -> awaitWakeUp((decision.until - now).coerceIn(MIN_WAIT, MAX_WAIT))
+            FetchDecision.Busy, FetchDecision.Complete -> wakeSignal.receive()
         }
     }
 
@@ -165,7 +165,7 @@
         currentVersion = wanted
         manifest = bytes
         deliveredChunks.clear()
-        control.weights.want(wanted, digests, control.holders())
+        control.weights.startFetch(wanted, digests, control.holders())
         arrivals.value++
     }
 
@@ -193,7 +193,7 @@
             core.configuration.current.objects.regions.values
                 .firstOrNull { it.origin }
                 ?.id
-        return WeightPlan(core.options.sources, wanted.id, self, holders, region, wanted.chunkCount).sources(MANIFEST_INDEX)
+        return ChunkSourcePlan(core.options.sources, wanted.id, self, holders, region, wanted.chunkCount).sources(MANIFEST_INDEX)
     }
 
     /** Reads from [source]; returns null in place of bytes when the source does not have them yet. */
@@ -231,14 +231,14 @@
     }
 
     private suspend fun fetch(
-        decision: DrawDecision.Draw,
+        decision: FetchDecision.Fetch,
         version: OperatorObject.Version,
     ) {
-        val timeout = core.settings.limits.weights.drawLimit
+        val timeout = core.settings.limits.weights.fetchTimeout
         val read = readFrom(decision.source, version, decision.chunk, timeout) { origin.chunk(version.id, decision.chunk, timeout) }
-        val result = read.fold({ DrawResult.Failed }, { if (it == null) DrawResult.NotYet else DrawResult.Arrived(digestOf(it), it) })
+        val result = read.fold({ FetchResult.Failed }, { if (it == null) FetchResult.NotYet else FetchResult.Received(digestOf(it), it) })
         val chunkDecision =
-            core.thread.decide { control.weights.ended(version.id, decision.chunk, decision.source, result, core.clock.elapsed()) }
+            core.thread.decide { control.weights.onFetchEnded(version.id, decision.chunk, decision.source, result, core.clock.elapsed()) }
         read.onLeft { core.log.failure("chunk-fetch-failed", it, "version" to version.id.text, "chunk" to decision.chunk.number) }
         when (chunkDecision) {
             ChunkDecision.Keep -> keep(version, decision.chunk, result)
@@ -251,10 +251,10 @@
     private suspend fun keep(
         version: OperatorObject.Version,
         chunk: ChunkIndex,
-        result: DrawResult,
+        result: FetchResult,
     ) {
         arrivals.value++
-        if (result is DrawResult.Arrived) deliver(version, chunk, result.bytes)
+        if (result is FetchResult.Received) deliver(version, chunk, result.bytes)
     }
 
     /** Delivers a chunk to the engine; retries until the engine accepts it or the version is no longer wanted. */
@@ -264,7 +264,7 @@
         bytes: ByteArray,
     ) {
         while (core.thread.decide { currentVersion == version }) {
-            val put = backEnd.putChunk(version.id, chunk, bytes, core.settings.limits.weights.drawLimit)
+            val put = backEnd.putChunk(version.id, chunk, bytes, core.settings.limits.weights.fetchTimeout)
             if (put.isRight()) return onDelivered(version, chunk)
             put.onLeft { core.log.failure("chunk-delivery-failed", it, "version" to version.id.text, "chunk" to chunk.number) }
             delay(DELIVERY_RETRY_DELAY)
@@ -294,7 +294,7 @@
 
     private fun logDamagedChunk(
         version: OperatorObject.Version,
-        decision: DrawDecision.Draw,
+        decision: FetchDecision.Fetch,
     ) {
         core.metrics.count("chunks", "damaged")
         val failure =
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/Site.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/Site.kt
@@ -26,7 +26,7 @@
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.Violation
@@ -66,7 +66,7 @@
     fun publish(objects: ObjectSet): Revision {
         objects.versions.values.forEach { origin.publish(it.id.text, SyntheticWeights(it.id.text, it.bytes, it.chunkBytes)) }
         val revision = Revision(platform.published().revision.number + 1)
-        platform.publish(SealedSet(revision, objects))
+        platform.publish(ObjectSnapshot(revision, objects))
         return revision
     }
 
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/DirectSite.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/DirectSite.kt
@@ -21,7 +21,7 @@
 import lagoonrudder.daemon.direct.directDaemon
 import lagoonrudder.http.HttpClient
 import lagoonrudder.http.HttpHandler
-import lagoonrudder.http.HttpLoop
+import lagoonrudder.http.HttpEventLoop
 import lagoonrudder.http.HttpRequest
 import lagoonrudder.http.HttpResponse
 import lagoonrudder.http.HttpServer
@@ -46,7 +46,7 @@
     entries: Int,
     workers: Int,
 ) : AutoCloseable {
-    private val loop = HttpLoop("site")
+    private val loop = HttpEventLoop("site")
     private val scope = CoroutineScope(SupervisorJob() + loop.dispatcher)
     private val clock = SystemClock()
     private val client = HttpClient(loop, clock)
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectCall.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectCall.kt
@@ -24,7 +24,7 @@
     val service: ServiceId,
     val endsAt: Duration,
     val priority: Int,
-    val homes: List<Set<RegionId>>,
+    val homeRegions: List<Set<RegionId>>,
     val isLate: Boolean,
 ) {
     /** What is left of the caller's and the route's time. */
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectFilters.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectFilters.kt
@@ -10,7 +10,7 @@
 import lagoonrudder.model.ServiceId
 import lagoonrudder.model.ServingCustomer
 import lagoonrudder.model.ServingRoute
-import lagoonrudder.model.ServingSet
+import lagoonrudder.model.ServingConfiguration
 import lagoonrudder.model.Step
 import lagoonrudder.traffic.Filter
 import lagoonrudder.traffic.Next
@@ -62,12 +62,12 @@
 
     private fun identify(
         call: DirectCall,
-        serving: ServingSet,
+        serving: ServingConfiguration,
     ): Refusal? {
         val request = call.request
         val route = serving.route(request.host, request.path.substringBefore('?')) ?: return Refusal.UnknownRoute
-        val customer = request.key?.let { serving.customerOf(it) }
-        if (serving.asksForKeys && !route.open && customer == null) return Refusal.UnknownCustomer
+        val customer = request.key?.let { serving.customerByApiKey(it) }
+        if (serving.requiresApiKeys && !route.open && customer == null) return Refusal.UnknownCustomer
         val service = pick(route) ?: return Refusal.NoTarget(RETRY_AFTER)
         val limit = request.timeLeft?.let { minOf(route.timeout, it) } ?: route.timeout
         call.identify(
@@ -78,7 +78,7 @@
                 service = service,
                 endsAt = call.receivedAt + limit,
                 priority = customer?.priority ?: route.priority,
-                homes = listOf(route.homes, homesOf(customer)),
+                homeRegions = listOf(route.homeRegions, homesOf(customer)),
                 isLate = isLate(request, route),
             ),
         )
@@ -89,9 +89,9 @@
     private fun isLate(
         request: CallerRequest,
         route: ServingRoute,
-    ): Boolean = request.resumeAfter == null && request.timeLeft?.let { it < route.timeout - route.objective } ?: false
+    ): Boolean = request.resumeAfter == null && request.timeLeft?.let { it < route.timeout - route.latencyObjective } ?: false
 
-    private fun homesOf(customer: ServingCustomer?) = customer?.homes.orEmpty()
+    private fun homesOf(customer: ServingCustomer?) = customer?.homeRegions.orEmpty()
 
     private fun pick(route: ServingRoute): ServiceId? {
         var rest = random.nextDouble() * route.shares.sumOf { it.weight }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectSendFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectSendFilter.kt
@@ -140,7 +140,7 @@
                 service = identity.service,
                 customer = identity.customer?.id,
                 priority = priority,
-                homes = identity.homes,
+                homeRegions = identity.homeRegions,
                 passedOver = passedOver.toSet(),
                 number = relay.number,
                 promptTokens = call.request.promptTokens ?: 0,
@@ -167,7 +167,7 @@
     private fun patience(): Duration =
         when {
             relay.begun -> limits.resume
-            call.attempts.isEmpty() -> identity.route.objective * limits.patience
+            call.attempts.isEmpty() -> identity.route.latencyObjective * limits.patience
             else -> REPEAT_PATIENCE
         }
 
@@ -242,7 +242,7 @@
     }
 
     private suspend fun nextOf(open: OpenAttempt): Next {
-        val mayMove = kind.repeatable && runs + 1 < identity.route.attempts
+        val mayMove = kind.retryable && runs + 1 < identity.route.attempts
         val limit = if (relay.begun) limits.nextEvent else limits.firstEvent
         if (mayMove && limit < identity.timeLeft(control.clock)) {
             withTimeoutOrNull(limit) { open.next() }?.let { return Next.Event(it) }
@@ -266,7 +266,7 @@
     private suspend fun afterLoss(result: DirectResult.Lost): Outcome? {
         runs++
         mayHaveRun = result
-        val again = kind.repeatable && runs < identity.route.attempts && (result.silent || spend())
+        val again = kind.retryable && runs < identity.route.attempts && (result.silent || spend())
         return if (again) null else ended(result.detail)
     }
 
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AdmitFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AdmitFilter.kt
@@ -7,17 +7,17 @@
 import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.NonCancellable
 import kotlinx.coroutines.withContext
-import lagoonrudder.control.Dispatched
-import lagoonrudder.control.Need
-import lagoonrudder.control.QueueLine
-import lagoonrudder.control.Waiting
+import lagoonrudder.control.DispatchResult
+import lagoonrudder.control.RoutingRequest
+import lagoonrudder.control.QueueKey
+import lagoonrudder.control.QueuedRequest
 import lagoonrudder.control.keyOwners
 import lagoonrudder.control.ownerOf
 import lagoonrudder.control.prefixOf
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.Peer
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.traffic.Filter
@@ -37,9 +37,9 @@
         val owner = key?.let { ownerFor(identity, it) }
         if (key != null && owner == null) return Outcome.Refused(Refusal.NoTarget(RETRY), Step.CHOOSE_TARGET, Peer.SELF)
         call.ticket = ticketFor(identity, owner)
-        return when (val turn = awaitTurn(control, call.ticket) { enter(it) }) {
-            is Dispatched.Refused -> Outcome.Refused(turn.refusal, Step.ADMIT, Peer.SELF)
-            is Dispatched.Go -> {
+        return when (val turn = awaitTurn(control, call.ticket) { enqueue(it) }) {
+            is DispatchResult.Refused -> Outcome.Refused(turn.refusal, Step.ADMIT, Peer.SELF)
+            is DispatchResult.Sent -> {
                 call.choice = turn
                 next.proceed(call)
             }
@@ -48,7 +48,7 @@
 
     private suspend fun ownerFor(
         identity: Identity,
-        key: RepeatKey,
+        key: IdempotencyKey,
     ): TargetId? {
         val set = control.thread.decide { control.configuration.current }
         return ownerOf(key, keyOwners(set.objects, identity.fleet))
@@ -59,9 +59,9 @@
         owner: TargetId?,
     ): Ticket {
         val waiting =
-            Waiting(
+            QueuedRequest(
                 id = identity.request,
-                line = QueueLine(identity.fleet.id, owner),
+                queueKey = QueueKey(identity.fleet.id, owner),
                 customer = identity.customer.id,
                 weight = identity.customer.weight,
                 priority = identity.route.priority,
@@ -70,7 +70,7 @@
                 deadline = identity.deadline,
             )
         val need =
-            Need(
+            RoutingRequest(
                 fleet = identity.fleet.id,
                 owner = owner,
                 tokens = identity.tokens,
@@ -90,9 +90,9 @@
 internal suspend fun awaitTurn(
     control: EntryControl,
     ticket: Ticket,
-    join: EntryControl.(Ticket) -> Deferred<Dispatched>,
-): Dispatched {
-    var turn: Dispatched? = null
+    join: EntryControl.(Ticket) -> Deferred<DispatchResult>,
+): DispatchResult {
+    var turn: DispatchResult? = null
     val sleeper = control.thread.decide { control.join(ticket) }
     try {
         return sleeper.await().also { turn = it }
@@ -101,7 +101,7 @@
             withContext(NonCancellable) {
                 control.thread.decide {
                     val granted = if (sleeper.isCompleted) sleeper.getCompletedOrNull() else null
-                    if (granted is Dispatched.Go) control.ended(ticket, granted.target, failed = false) else control.leave(ticket)
+                    if (granted is DispatchResult.Sent) control.ended(ticket, granted.target, failed = false) else control.withdraw(ticket)
                 }
             }
         }
@@ -109,4 +109,4 @@
 }
 
 @OptIn(ExperimentalCoroutinesApi::class)
-private fun Deferred<Dispatched>.getCompletedOrNull(): Dispatched? = if (getCompletionExceptionOrNull() == null) getCompleted() else null
+private fun Deferred<DispatchResult>.getCompletedOrNull(): DispatchResult? = if (getCompletionExceptionOrNull() == null) getCompleted() else null
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AnswerRelay.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AnswerRelay.kt
@@ -11,7 +11,7 @@
 import kotlinx.coroutines.channels.Channel
 import kotlinx.coroutines.selects.onTimeout
 import kotlinx.coroutines.selects.select
-import lagoonrudder.control.HoldDecision
+import lagoonrudder.control.BufferDecision
 import lagoonrudder.model.Clock
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.VersionId
@@ -101,22 +101,22 @@
     /** Suspends until the caller has read everything that is held. */
     suspend fun awaitRead() {
         while (held.get() > 0) readSignal.receive()
-        control.thread.decide { control.readers.resumed(request, clock.elapsed()) }
+        control.thread.decide { control.readers.onResumed(request, clock.elapsed()) }
         park = CompletableDeferred()
     }
 
     private suspend fun awaitRoom(bytes: Long) {
         while (held.get() > 0 && held.get() + bytes > granted) {
             when (control.thread.decide { holdMore() }) {
-                HoldDecision.Hold -> Unit
-                HoldDecision.Wait -> awaitReadOrTime()
+                BufferDecision.Granted -> Unit
+                BufferDecision.Wait -> awaitReadOrTime()
             }
         }
     }
 
-    private fun holdMore(): HoldDecision {
-        val decision = control.readers.hold(request, STEP_BYTES)
-        if (decision is HoldDecision.Hold) granted += STEP_BYTES
+    private fun holdMore(): BufferDecision {
+        val decision = control.readers.reserve(request, STEP_BYTES)
+        if (decision is BufferDecision.Granted) granted += STEP_BYTES
         return decision
     }
 
@@ -131,7 +131,7 @@
     private suspend fun giveBack() {
         if (granted <= BASE_BYTES || held.get() > BASE_BYTES / 2) return
         control.thread.decide {
-            control.readers.read(request, granted - BASE_BYTES, clock.elapsed())
+            control.readers.onRead(request, granted - BASE_BYTES, clock.elapsed())
             granted = BASE_BYTES
         }
     }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/SendFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/SendFilter.kt
@@ -20,10 +20,10 @@
 import kotlinx.coroutines.flow.mapNotNull
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withContext
-import lagoonrudder.control.Dispatched
-import lagoonrudder.control.RecordedAnswer
-import lagoonrudder.control.RepeatDecision
-import lagoonrudder.control.Room
+import lagoonrudder.control.DispatchResult
+import lagoonrudder.control.RecordedResponse
+import lagoonrudder.control.IdempotencyDecision
+import lagoonrudder.control.TargetLoad
 import lagoonrudder.model.Clock
 import lagoonrudder.model.Failure
 import lagoonrudder.model.Instance
@@ -31,7 +31,7 @@
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.digestOf
@@ -79,14 +79,14 @@
 private sealed class AttemptResult {
     data class Ended(
         val outcome: Outcome,
-        val room: Room? = null,
+        val load: TargetLoad? = null,
     ) : AttemptResult()
 
     /** The target proved that it did not run. */
     data class TurnedAway(
         val refusal: Refusal,
         val peer: Peer,
-        val room: Room?,
+        val load: TargetLoad?,
     ) : AttemptResult()
 
     /** The target did not get the request, or the request may be repeated. */
@@ -112,7 +112,7 @@
     private var mayHaveRun: Failure? = null
 
     suspend fun run(): Outcome {
-        control.thread.decide { control.retries.attempted() }
+        control.thread.decide { control.retries.onFirstAttempt() }
         while (true) {
             attempt++
             val ended =
@@ -139,10 +139,10 @@
 
     private fun account(result: AttemptResult?) {
         when (result) {
-            is AttemptResult.TurnedAway -> control.turnedAway(target, result.room)
+            is AttemptResult.TurnedAway -> control.onRejected(target, result.load)
             is AttemptResult.Lost -> control.ended(ticket, target, failed = true)
             is AttemptResult.Ended -> {
-                result.room?.let { control.roomSeen(target, it) }
+                result.load?.let { control.onLoadUpdate(target, it) }
                 control.ended(ticket, target, failed = result.outcome is Outcome.Unknown, heldBack = relay.heldBack)
             }
             AttemptResult.Parked, null -> control.ended(ticket, target, failed = false)
@@ -188,10 +188,10 @@
     /** Waits for another target; an outcome means that there is none. */
     private suspend fun awaitTarget(): Outcome? {
         if (relay.started) ticket = ticket.copy(waiting = ticket.waiting.copy(deadline = clock.elapsed() + limits.resume))
-        val turn = awaitTurn(control, ticket) { reenter(it) }
+        val turn = awaitTurn(control, ticket) { requeue(it) }
         return when (turn) {
-            is Dispatched.Refused -> endWithout(turn.refusal, Peer.SELF)
-            is Dispatched.Go -> {
+            is DispatchResult.Refused -> endWithout(turn.refusal, Peer.SELF)
+            is DispatchResult.Sent -> {
                 target = turn.target
                 null
             }
@@ -230,27 +230,27 @@
 
     private suspend fun afterReservation(
         instance: Instance,
-        decision: RepeatDecision,
-        key: RepeatKey,
+        decision: IdempotencyDecision,
+        key: IdempotencyKey,
     ): AttemptResult {
         val peer = peerOf(instance)
         return when (decision) {
-            is RepeatDecision.Permitted -> attemptRun(instance, RunPermit(key, decision.permit))
-            is RepeatDecision.Refused -> AttemptResult.TurnedAway(decision.refusal, peer, null)
-            is RepeatDecision.Uncertain -> unknown(Failure.Declined(Step.GUARD_REPEATS, peer, decision.detail))
-            is RepeatDecision.AskOwners -> unknown(Failure.Damaged(Step.GUARD_REPEATS, peer, "an answer that is not for entry daemons"))
-            is RepeatDecision.RanBefore -> repeatAnswer(decision.answer, peer)
+            is IdempotencyDecision.Permitted -> attemptRun(instance, RunPermit(key, decision.permit))
+            is IdempotencyDecision.Refused -> AttemptResult.TurnedAway(decision.refusal, peer, null)
+            is IdempotencyDecision.Uncertain -> unknown(Failure.Declined(Step.GUARD_REPEATS, peer, decision.detail))
+            is IdempotencyDecision.QueryPreviousOwners -> unknown(Failure.Damaged(Step.GUARD_REPEATS, peer, "an answer that is not for entry daemons"))
+            is IdempotencyDecision.AlreadyRan -> repeatAnswer(decision.response, peer)
         }
     }
 
     private suspend fun repeatAnswer(
-        answer: RecordedAnswer?,
+        response: RecordedResponse?,
         peer: Peer,
     ): AttemptResult {
-        if (answer == null) return unknown(Failure.Declined(Step.GUARD_REPEATS, peer, "it ran before and its answer is no longer held"))
-        relay.start(RunEvent.Head(identity.request, attempt, null, answer.status, answer.contentType), call.sink)
-        relay.take(RunEvent.Bytes(0, answer.body, checksumOf(answer.body)))
-        return AttemptResult.Ended(Outcome.Completed(answer.body.size.toLong(), null))
+        if (response == null) return unknown(Failure.Declined(Step.GUARD_REPEATS, peer, "it ran before and its answer is no longer held"))
+        relay.start(RunEvent.Head(identity.request, attempt, null, response.status, response.contentType), call.sink)
+        relay.take(RunEvent.Bytes(0, response.body, checksumOf(response.body)))
+        return AttemptResult.Ended(Outcome.Completed(response.body.size.toLong(), null))
     }
 
     private fun unknown(failure: Failure) = AttemptResult.Ended(Outcome.Unknown(failure))
@@ -321,7 +321,7 @@
     ): AttemptResult? {
         if (!known && event !is RunEvent.NotRun) return damaged(permit, peer, "an answer without a head")
         return when (event) {
-            is RunEvent.NotRun -> AttemptResult.TurnedAway(event.refusal, peer, event.room)
+            is RunEvent.NotRun -> AttemptResult.TurnedAway(event.refusal, peer, event.load)
             is RunEvent.Head -> takeHead(event, permit, peer)
             is RunEvent.Bytes -> takeBytes(event, check, permit, peer)
             is RunEvent.End -> takeEnd(event, check, permit, peer)
@@ -363,7 +363,7 @@
         peer: Peer,
     ): AttemptResult {
         if (!check.endsWith(end.length, end.checksum)) return wrongEnd(peer)
-        return AttemptResult.Ended(Outcome.Completed(end.length, relay.version), end.room)
+        return AttemptResult.Ended(Outcome.Completed(end.length, relay.version), end.load)
     }
 
     /** What was handed on can't be taken back: the answer ends broken, it is not resumed. */
