--- a/daemon/src/main/kotlin/lagoonrudder/daemon/PeerEnd.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/PeerRpcHandler.kt
@@ -1,9 +1,9 @@
 /**
- * What every daemon answers to its peers: configuration always, weights where it holds some.
+ * Handles the RPCs of peers: the configuration at every daemon, chunks of weights at those that hold some.
  */
 package lagoonrudder.daemon
 
-import lagoonrudder.daemon.configuration.ConfigurationLoop
+import lagoonrudder.daemon.configuration.ConfigurationSyncLoop
 import lagoonrudder.wire.messages.ChunkMessage
 import lagoonrudder.wire.messages.ChunkReply
 import lagoonrudder.wire.messages.ChunkState
@@ -13,18 +13,18 @@
 import lagoonrudder.wire.messages.OfferReply
 import lagoonrudder.wire.rpc.PeerService
 
-/** Answers requests for chunks of weights. */
+/** Serves chunks of weights to peers. */
 fun interface ChunkService {
     suspend fun chunk(message: ChunkMessage): ChunkReply
 }
 
-class PeerEnd(
-    private val configuration: ConfigurationLoop,
+class PeerRpcHandler(
+    private val configuration: ConfigurationSyncLoop,
     private val chunks: ChunkService = ChunkService { ChunkReply(ChunkState.NOT_HERE) },
 ) : PeerService {
-    override suspend fun exchange(message: ExchangeMessage): ExchangeReply = configuration.answer(message)
+    override suspend fun exchange(message: ExchangeMessage): ExchangeReply = configuration.replyTo(message)
 
-    override suspend fun offer(message: OfferMessage): OfferReply = configuration.take(message)
+    override suspend fun offer(message: OfferMessage): OfferReply = configuration.applyOffer(message)
 
     override suspend fun chunk(message: ChunkMessage): ChunkReply = chunks.chunk(message)
 }
--- /dev/null
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/ChunkCache.kt
@@ -0,0 +1,128 @@
+/**
+ * Cache of chunks of weights at an entry daemon, which serves the target daemons of its region.
+ *
+ * Concurrent requests for a chunk share one fetch, and each chunk is verified against its digest when it arrives. The
+ * newest versions of each model are kept. Everything runs on the traffic thread.
+ */
+package lagoonrudder.daemon.direct
+
+import arrow.core.Either
+import arrow.core.flatMap
+import kotlinx.coroutines.Deferred
+import kotlinx.coroutines.async
+import kotlinx.coroutines.delay
+import kotlinx.coroutines.launch
+import kotlinx.coroutines.sync.Semaphore
+import kotlinx.coroutines.sync.withPermit
+import lagoonrudder.control.direct.DeclaredWeights
+import lagoonrudder.control.direct.PieceSource
+import lagoonrudder.control.direct.WeightManifest
+import lagoonrudder.model.Failure
+import lagoonrudder.model.ModelId
+import lagoonrudder.model.WeightNumber
+import kotlin.time.Duration.Companion.milliseconds
+
+class ChunkCache(
+    private val core: DirectCore,
+    private val fetcher: WeightFetcher,
+) {
+    private data class ChunkKey(
+        val model: ModelId,
+        val number: WeightNumber,
+        val index: Int,
+    )
+
+    private data class ManifestKey(
+        val model: ModelId,
+        val number: WeightNumber?,
+    )
+
+    private val chunks = mutableMapOf<ChunkKey, Deferred<Either<Failure, ByteArray>>>()
+    private val manifests = mutableMapOf<ManifestKey, Deferred<Either<Failure, WeightManifest>>>()
+    private val prefetched = mutableSetOf<Pair<ModelId, WeightNumber>>()
+    private val fetchPermits = Semaphore(MAX_CONCURRENT_FETCHES)
+
+    suspend fun manifest(
+        model: ModelId,
+        number: WeightNumber?,
+    ): Either<Failure, WeightManifest> {
+        val key = ManifestKey(model, number)
+        val fetching =
+            manifests.getOrPut(key) {
+                core.scope.async { fetcher.manifest(upstreamSources(model, number, MANIFEST_INDEX), model, number) }
+            }
+        val fetched = fetching.await()
+        if (fetched is Either.Left || number == null) manifests.remove(key, fetching)
+        if (fetched is Either.Right) prefetchOwnChunks(fetched.value)
+        return fetched
+    }
+
+    /**
+     * Prefetches a version that was just declared, so that part of it is cached if the origin fails soon after. Retries
+     * until the manifest has been fetched or a newer version is declared.
+     */
+    suspend fun prefetch(declared: DeclaredWeights) {
+        while (core.thread.decide { core.publication.declared(declared.model) } == declared) {
+            if (manifest(declared.model, declared.number).isRight()) return
+            delay(PREFETCH_RETRY_DELAY)
+        }
+    }
+
+    /** Prefetches the chunks for which this daemon is the primary source; only the first call for a version has an effect. */
+    private fun prefetchOwnChunks(manifest: WeightManifest) {
+        val version = manifest.model to manifest.number
+        if (!prefetched.add(version)) return
+        core.scope.launch {
+            val ownChunks =
+                core.thread.decide {
+                    manifest.digests.indices.filter {
+                        core.staging.leads(manifest.model, manifest.number, it, core.clock.elapsed())
+                    }
+                }
+            core.log.info("chunk-prefetch-started", "number" to manifest.number.number, "pieces" to ownChunks.size)
+            ownChunks.forEach { index -> core.scope.launch { chunk(manifest.model, manifest.number, index) } }
+        }
+    }
+
+    suspend fun chunk(
+        model: ModelId,
+        number: WeightNumber,
+        index: Int,
+    ): Either<Failure, ByteArray> {
+        evictOldVersions(model, number)
+        val key = ChunkKey(model, number, index)
+        val fetching = chunks.getOrPut(key) { core.scope.async { fetchPermits.withPermit { fetch(model, number, index) } } }
+        return fetching.await().also { if (it is Either.Left) chunks.remove(key, fetching) }
+    }
+
+    private suspend fun fetch(
+        model: ModelId,
+        number: WeightNumber,
+        index: Int,
+    ): Either<Failure, ByteArray> =
+        manifest(model, number).flatMap { manifest -> fetcher.chunk(upstreamSources(model, number, index), manifest, index) }
+
+    private suspend fun upstreamSources(
+        model: ModelId,
+        number: WeightNumber?,
+        index: Int,
+    ): List<PieceSource> = core.thread.decide { core.staging.sourcesAbove(model, number, index, core.clock.elapsed()) }
+
+    /** Evicts all but the two newest versions of a model. */
+    private fun evictOldVersions(
+        model: ModelId,
+        newest: WeightNumber,
+    ) {
+        val retained =
+            (chunks.keys.filter { it.model == model }.map { it.number } + newest).distinct().sortedDescending().take(RETAINED_VERSIONS)
+        chunks.keys.removeIf { it.model == model && it.number !in retained }
+    }
+
+    private companion object {
+        /** A few concurrent fetches saturate the link of the origin. */
+        const val MAX_CONCURRENT_FETCHES = 4
+        const val RETAINED_VERSIONS = 2
+        const val MANIFEST_INDEX = -1
+        val PREFETCH_RETRY_DELAY = 500.milliseconds
+    }
+}
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntry.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntryDaemon.kt
@@ -1,5 +1,5 @@
 /**
- * The daemon between callers and back ends.
+ * The entry daemon in direct mode, which accepts requests from callers and sends them to back ends.
  */
 package lagoonrudder.daemon.direct
 
@@ -26,10 +26,10 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-class DirectEntry(
+class DirectEntryDaemon(
     core: DirectCore,
 ) : DirectDaemon(core),
-    DirectView {
+    DirectDiagnostics {
     private val settings = core.settings
     private val random = Random(System.nanoTime())
     private val placement =
@@ -42,72 +42,72 @@
             random,
         )
     private val control =
-        DirectControl(core.thread, core.clock, core.publication, core.peers, placement, RepeatShare(settings.bounds.repeats))
+        DirectControl(core.thread, core.clock, core.publication, core.peers, placement, RepeatShare(settings.bounds.retryBudget))
     private val client = PeerClient(core.http)
-    private val store = StoreLoop(core, needed = { true }, changed = ::published)
-    private val peers = PeerLoop(core, client, loads = placement::inFlight, changed = ::published)
-    private val pieces = PieceCache(core, PieceSources(core, client))
-    private val pauses = PauseWatch(core.clock)
-    private var prepared = emptyList<DeclaredWeights>()
+    private val store = StoreSyncLoop(core, isNeeded = { true }, onChange = ::onStoreViewChanged)
+    private val peers = GossipLoop(core, client, loads = placement::inFlight, onChange = ::onStoreViewChanged)
+    private val chunks = ChunkCache(core, WeightFetcher(core, client))
+    private val pauseDetector = PauseDetector(core.clock)
+    private var prefetchedVersions = emptyList<DeclaredWeights>()
     private var callers: HttpServer? = null
 
     @Volatile
-    private var leaving = false
+    private var isShuttingDown = false
 
-    /** The limits for callers, as the traffic thread reads them. */
+    /** Limits on requests from callers. Written on the control thread, read on the traffic thread. */
     @Volatile
     private var limits = DEFAULT_LIMITS
 
     override suspend fun start() {
         val listen = checkNotNull(settings.listen)
-        val chain = FilterChain(directFilters(control, BackEndHttpClient(core.http), random, ::ended))
-        val endpoint = PeerEndpoint(core, pieces, placement::inFlight, ::published)
+        val chain = FilterChain(directFilters(control, BackEndHttpClient(core.http), random, ::recordRequestEnd))
+        val endpoint = PeerEndpoint(core, chunks, placement::inFlight, ::onStoreViewChanged)
         HttpServer.start(core.loop, core.scope, listen.peers, { HttpServer.PEER_LIMITS }, endpoint)
-        HttpServer.start(core.loop, core.scope, listen.ready, { HttpServer.PEER_LIMITS }, ReadinessRequestHandler { ready() })
+        HttpServer.start(core.loop, core.scope, listen.ready, { HttpServer.PEER_LIMITS }, ReadinessRequestHandler { isReady() })
         callers = HttpServer.start(core.loop, core.scope, listen.callers, { limits }, CallerRequestHandler(chain, core.clock))
-        serveOperators(this)
+        startOperatorServer(this)
         core.scope.launch { store.run() }
         core.scope.launch { peers.run() }
-        core.scope.launch { tick() }
+        core.scope.launch { runTicks() }
         core.log.info("started", "role" to "entry", "callers" to listen.callers, "peers" to listen.peers, "store" to settings.store)
     }
 
     override suspend fun stop() {
         val started = core.clock.elapsed()
         val server = callers ?: return
-        leaving = true
+        isShuttingDown = true
         core.log.info("leaving", "in-hand" to server.activeRequests)
-        delay(BALANCER_NOTICES)
+        delay(LOAD_BALANCER_DRAIN_TIME)
         server.drain()
-        val last = started + settings.bounds.stopGrace - STOP_MARGIN
-        delay(RETIRE_NOTICE)
-        // A request that was read just before the process ends would get no answer.
+        val deadline = started + settings.bounds.stopGrace - SHUTDOWN_MARGIN
+        delay(CONNECTION_DRAIN_TIME)
+        // A request that is read just before the process exits would get no response.
         server.stopReading()
-        while (server.activeRequests > 0 && core.clock.elapsed() < last) delay(STOP_CHECK)
+        while (server.activeRequests > 0 && core.clock.elapsed() < deadline) delay(SHUTDOWN_CHECK_INTERVAL)
         core.log.info("stopped", "in-hand" to server.activeRequests, "took" to core.clock.elapsed() - started)
     }
 
-    /** Something that this process believes has changed; runs on the control thread. */
-    private fun published() {
+    /** Applies a change of the published state. Runs on the control thread. */
+    private fun onStoreViewChanged() {
         limits = core.publication.serving?.limits ?: DEFAULT_LIMITS
         control.published()
         val newest = core.publication.newest
-        (newest - prepared.toSet()).forEach { core.scope.launch { pieces.prepare(it) } }
-        prepared = newest
+        (newest - prefetchedVersions.toSet()).forEach { core.scope.launch { chunks.prefetch(it) } }
+        prefetchedVersions = newest
     }
 
-    private suspend fun ready() = !leaving && core.thread.decide { core.publication.confirmed }
+    private suspend fun isReady() = !isShuttingDown && core.thread.decide { core.publication.confirmed }
 
-    private suspend fun tick() {
+    private suspend fun runTicks() {
         while (currentCoroutineContext().isActive) {
-            delay(TICK)
-            val pause = pauses.pause(TICK)
-            val gone = core.thread.decide { onTick(pause) }
-            gone.forEach { core.log.info("back-end-gone", "target" to it.text, "source" to "lapsed") }
+            delay(TICK_INTERVAL)
+            val pause = pauseDetector.check(TICK_INTERVAL)
+            val expired = core.thread.decide { onTick(pause) }
+            expired.forEach { core.log.info("back-end-gone", "target" to it.text, "source" to "lapsed") }
             if (pause != null) {
                 core.log.warning("paused", "for" to pause)
                 core.http.closeIdle(settings.store)
-                store.hurry()
+                store.pollNow()
             }
         }
     }
@@ -124,14 +124,14 @@
 
     override fun gauges() = core.gauges() + mapOf("in_flight" to placement.inFlight().values.sum(), "waiting" to placement.waiting())
 
-    private fun ended(
+    private fun recordRequestEnd(
         call: DirectCall,
         outcome: Outcome?,
     ) {
         val identity = call.identityOrNull
         val took = core.clock.elapsed() - call.receivedAt
-        if (outcome == null) core.metrics.callerLeft(took) else core.metrics.requestEnded(outcome, took)
-        call.firstEventAfter?.let { core.metrics.firstEvent(it) }
+        if (outcome == null) core.metrics.recordCallerDisconnect(took) else core.metrics.recordRequest(outcome, took)
+        call.firstEventAfter?.let { core.metrics.recordFirstEvent(it) }
         core.log.info(
             "request-ended",
             "request" to call.request.request.text,
@@ -149,12 +149,12 @@
     }
 
     private companion object {
-        val TICK = 100.milliseconds
+        val TICK_INTERVAL = 100.milliseconds
 
-        /** The balancer asks once a second and turns away after two refusals. */
-        val BALANCER_NOTICES = 2_300.milliseconds
-        val RETIRE_NOTICE = 400.milliseconds
-        val STOP_CHECK = 50.milliseconds
-        val STOP_MARGIN = 700.milliseconds
+        /** The load balancer checks readiness once a second and stops routing here after two failed checks. */
+        val LOAD_BALANCER_DRAIN_TIME = 2_300.milliseconds
+        val CONNECTION_DRAIN_TIME = 400.milliseconds
+        val SHUTDOWN_CHECK_INTERVAL = 50.milliseconds
+        val SHUTDOWN_MARGIN = 700.milliseconds
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectSettings.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectSettings.kt
@@ -1,5 +1,6 @@
 /**
- * The settings of a daemon that sends straight to back ends and reads everything else from the platform's store.
+ * The settings of a daemon in direct mode, which sends requests straight to back ends and reads routes, customers and
+ * back ends from the platform's store.
  */
 package lagoonrudder.daemon.direct
 
@@ -24,23 +25,23 @@
 import lagoonrudder.wire.documents.readIni
 import kotlin.time.Duration
 
-/** Where an entry daemon listens: for callers, for the balancer's question, and for its peers. */
-data class DirectListen(
+/** Addresses on which an entry daemon listens for callers, for readiness checks of the load balancer, and for its peers. */
+data class DirectListenSettings(
     val callers: Address,
     val ready: Address,
     val peers: Address,
 )
 
-/** The back end beside a target daemon. */
-data class DirectSlot(
+/** The back end on the same instance as a target daemon. */
+data class DirectSlotSettings(
     val service: ServiceId,
     val backEnd: Address,
 )
 
-/** [stopGrace] is the time from the stop signal to the end of the process. */
+/** Limits from the section `bounds`; [stopGrace] is the time from the stop signal to the exit of the process. */
 data class DirectBounds(
     val placement: PlacementBounds,
-    val repeats: RepeatBounds,
+    val retryBudget: RepeatBounds,
     val stopGrace: Duration,
 )
 
@@ -50,15 +51,15 @@
     val domain: DomainId,
     val region: RegionId,
     val regions: Map<DomainId, RegionId>,
-    val listen: DirectListen?,
+    val listen: DirectListenSettings?,
     val operators: Address,
     val seeds: List<Address>,
     val store: Address,
-    val slot: DirectSlot?,
+    val slot: DirectSlotSettings?,
     val bounds: DirectBounds,
 )
 
-/** Reads settings from [text]; [file] is named in errors. */
+/** Parses settings from [text]; [file] is the name for error messages. */
 fun readDirectSettings(
     text: String,
     file: String,
@@ -88,21 +89,21 @@
         )
     }
 
-private fun Raise<Failure.Malformed>.listen(section: IniSection): DirectListen =
-    with(section) { DirectListen(callers = address("callers"), ready = address("ready"), peers = address("peers")) }
+private fun Raise<Failure.Malformed>.listen(section: IniSection): DirectListenSettings =
+    with(section) { DirectListenSettings(callers = address("callers"), ready = address("ready"), peers = address("peers")) }
 
-private fun Raise<Failure.Malformed>.slot(section: IniSection): DirectSlot? =
+private fun Raise<Failure.Malformed>.slot(section: IniSection): DirectSlotSettings? =
     with(section) {
         val backEnd = optionalText("back-end") ?: return null
         val address = addressOrNull(backEnd) ?: raise(malformed("back-end", "expected an IP number and a port, found \"$backEnd\""))
-        DirectSlot(ServiceId(text("service")), address)
+        DirectSlotSettings(ServiceId(text("service")), address)
     }
 
 private fun Raise<Failure.Malformed>.bounds(section: IniSection): DirectBounds =
     with(section) {
         DirectBounds(
             placement = PlacementBounds(duration("version"), double("cold-ratio"), double("cold-allowance")),
-            repeats = RepeatBounds(double("repeat-ratio"), duration("repeat-window"), double("repeat-allowance")),
+            retryBudget = RepeatBounds(double("repeat-ratio"), duration("repeat-window"), double("repeat-allowance")),
             stopGrace = duration("stop-grace"),
         )
     }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/entry/EntryDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/entry/EntryDaemon.kt
@@ -1,5 +1,5 @@
 /**
- * The daemon between callers and targets.
+ * The entry daemon, which accepts requests from callers and sends them to targets.
  */
 package lagoonrudder.daemon.entry
 
@@ -15,11 +15,11 @@
 import lagoonrudder.daemon.Daemon
 import lagoonrudder.daemon.DaemonAddresses
 import lagoonrudder.daemon.DaemonCore
-import lagoonrudder.daemon.PeerEnd
-import lagoonrudder.daemon.configuration.ConfigurationLoop
-import lagoonrudder.daemon.front.CallerFront
+import lagoonrudder.daemon.PeerRpcHandler
+import lagoonrudder.daemon.configuration.ConfigurationSyncLoop
+import lagoonrudder.daemon.front.CallerServer
 import lagoonrudder.daemon.front.CompletionDecoder
-import lagoonrudder.daemon.operators.DaemonView
+import lagoonrudder.daemon.operators.DaemonDiagnostics
 import lagoonrudder.daemon.operators.OperatorServer
 import lagoonrudder.model.Address
 import lagoonrudder.model.Outcome
@@ -42,7 +42,7 @@
 class EntryDaemon(
     override val core: DaemonCore,
 ) : Daemon,
-    DaemonView {
+    DaemonDiagnostics {
     private val settings = core.settings
     private val uploads = UploadController(settings.limits.uploadBytes)
     private val control =
@@ -57,18 +57,18 @@
             readers = ResponseBufferController(core.options.readers ?: settings.limits.readers, core.invariants),
             service = core.service,
         )
-    private val reports = ReportLoop(core, control)
-    private val configuration = ConfigurationLoop(core) { configured() }
-    private val front = CallerFront(core, FilterChain(filters()), uploads, checkNotNull(settings.listen.callers))
+    private val reports = TargetReportLoop(core, control)
+    private val configuration = ConfigurationSyncLoop(core) { onConfigurationChanged() }
+    private val callerServer = CallerServer(core, FilterChain(filters()), uploads, checkNotNull(settings.listen.callers))
     private val operators = OperatorServer(core, this)
     private var rpcServer: RpcServer? = null
 
     override suspend fun start(): DaemonAddresses {
-        val rpc = RpcServer.start(settings.listen.rpc, core.scope.coroutineContext, PeerEnd(configuration), null)
+        val rpc = RpcServer.start(settings.listen.rpc, core.scope.coroutineContext, PeerRpcHandler(configuration), null)
         rpcServer = rpc
-        val addresses = DaemonAddresses(Address(settings.listen.rpc.host, rpc.port), front.start(), operators.start())
+        val addresses = DaemonAddresses(Address(settings.listen.rpc.host, rpc.port), callerServer.start(), operators.start())
         configuration.start()
-        core.scope.launch { tick() }
+        core.scope.launch { runTicks() }
         core.log.info(
             "started",
             "role" to "entry",
@@ -89,9 +89,9 @@
 
     override fun close() {
         rpcServer?.close()
-        core.scope.launch { front.close() }
+        core.scope.launch { callerServer.close() }
         operators.close()
-        front.close()
+        callerServer.close()
         core.close()
     }
 
@@ -105,43 +105,43 @@
 
     private fun mayServe(): Boolean = core.configuration.mayServe(core.clock.elapsed())
 
-    private fun configured() {
+    private fun onConfigurationChanged() {
         control.configured()
-        reports.match()
+        reports.updateSubscriptions()
     }
 
-    private suspend fun tick() {
+    private suspend fun runTicks() {
         while (core.scope.isActive) {
             val paused =
                 core.thread.decide {
                     control.tick()
-                    control.wasPaused(CONFIRM_LIMIT)
+                    control.wasPaused(CONFIRM_TIMEOUT)
                 }
             if (paused) core.scope.launch { confirmAfterPause() }
-            delay(TICK)
+            delay(TICK_INTERVAL)
         }
     }
 
     private suspend fun confirmAfterPause() {
         core.log.warning("paused", "action" to "confirm-configuration")
-        configuration.confirm(CONFIRM_LIMIT)
+        configuration.confirm(CONFIRM_TIMEOUT)
     }
 
     private fun filters() =
         entryFilters(
-            account = AccountFilter(control, core.clock, ::ended),
+            account = AccountFilter(control, core.clock, ::recordRequestEnd),
             identify = IdentifyFilter(control, core.clock, CompletionDecoder) { RequestId(UUID.randomUUID().toString()) },
             admit = AdmitFilter(control),
             relay = RelayFilter(control, core.clock, core.invariants),
             send = SendFilter(control, core.rpc, core.clock, core.options.send),
         )
 
-    private fun ended(
+    private fun recordRequestEnd(
         call: EntryCall,
         outcome: Outcome,
         took: Duration,
     ) {
-        core.metrics.requestEnded(outcome, took)
+        core.metrics.recordRequest(outcome, took)
         val request = call.identityOrNull()
         core.log.info(
             "request-ended",
@@ -163,7 +163,7 @@
         }
 
     private companion object {
-        val TICK = 100.milliseconds
-        val CONFIRM_LIMIT = 1.seconds
+        val TICK_INTERVAL = 100.milliseconds
+        val CONFIRM_TIMEOUT = 1.seconds
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/entry/ReportLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/entry/TargetReportLoop.kt
@@ -1,7 +1,8 @@
 /**
  * Keeps one stream of reports open to each target in the subset that this entry daemon may choose from.
  *
- * The reports are heartbeats too: a stream that breaks or stays silent makes its target unknown until it reports again.
+ * Reports also serve as heartbeats: when a stream breaks or receives nothing in time, the state of its target is unknown
+ * until the next report.
  */
 package lagoonrudder.daemon.entry
 
@@ -24,7 +25,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class ReportLoop(
+class TargetReportLoop(
     private val core: DaemonCore,
     private val control: EntryControl,
 ) {
@@ -35,17 +36,17 @@
 
     private val streams = mutableMapOf<TargetId, Stream>()
 
-    /** Opens and closes streams so that they match the subset; runs on the control thread. */
-    fun match() {
+    /** Opens and closes streams so that they match the subset. Runs on the control thread. */
+    fun updateSubscriptions() {
         val daemons = control.membership.targetDaemons()
         val wanted =
             control.routing
                 .subset()
                 .mapNotNull { target -> daemons[target.id]?.let { target.id to it } }
                 .toMap()
-        val gone = streams.filter { (target, stream) -> wanted[target] != stream.instance }.keys.toList()
-        gone.forEach { streams.remove(it)?.job?.cancel() }
-        for ((target, instance) in wanted) streams.getOrPut(target) { Stream(instance, core.scope.launch { follow(target, instance) }) }
+        val obsolete = streams.filter { (target, stream) -> wanted[target] != stream.instance }.keys.toList()
+        obsolete.forEach { streams.remove(it)?.job?.cancel() }
+        for ((target, instance) in wanted) streams.getOrPut(target) { Stream(instance, core.scope.launch { keepOpen(target, instance) }) }
         core.rpc.retain(
             control.membership
                 .instances()
@@ -54,41 +55,41 @@
         )
     }
 
-    private suspend fun follow(
+    private suspend fun keepOpen(
         target: TargetId,
         instance: Instance,
     ) {
         while (core.scope.isActive) {
-            read(target, instance)
+            readStream(target, instance)
             core.thread.decide { control.onDisconnected(target) }
-            delay(RECONNECT_PAUSE)
+            delay(RECONNECT_DELAY)
         }
     }
 
-    private suspend fun read(
+    private suspend fun readStream(
         target: TargetId,
         instance: Instance,
     ) {
         val peer = Peer(PeerRole.TARGET, instance.address.toString())
         core.rpc
             .reports(instance)
-            .withProgressLimits(LIMITS, Step.CHOOSE_TARGET, peer)
+            .withProgressLimits(REPORT_TIMEOUTS, Step.CHOOSE_TARGET, peer)
             .takeWhile { event ->
-                event.fold({ lost(instance, it) }, { taken(target, instance, it) })
+                event.fold({ onStreamFailed(instance, it) }, { onReport(target, instance, it) })
             }.collect { }
     }
 
-    private suspend fun lost(
+    private suspend fun onStreamFailed(
         instance: Instance,
         failure: Failure,
     ): Boolean {
         if (failure is Failure.TimedOut) core.rpc.reset(instance)
         core.thread.decide { control.membership.suspect(instance.daemon, core.clock.elapsed()) }
-        core.log.failure("reports-lost", failure, "daemon" to instance.daemon.text)
+        core.log.failure("report-stream-failed", failure, "daemon" to instance.daemon.text)
         return false
     }
 
-    private suspend fun taken(
+    private suspend fun onReport(
         target: TargetId,
         instance: Instance,
         report: TargetReport,
@@ -102,7 +103,7 @@
     }
 
     private companion object {
-        val LIMITS = ProgressLimits(first = 2.seconds, next = 2.seconds)
-        val RECONNECT_PAUSE = 200.milliseconds
+        val REPORT_TIMEOUTS = ProgressLimits(first = 2.seconds, next = 2.seconds)
+        val RECONNECT_DELAY = 200.milliseconds
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
@@ -1,5 +1,5 @@
 /**
- * The daemon in the slot beside a target instance.
+ * The daemon that runs beside a target instance and controls its engine.
  */
 package lagoonrudder.daemon.target
 
@@ -15,10 +15,10 @@
 import lagoonrudder.daemon.Daemon
 import lagoonrudder.daemon.DaemonAddresses
 import lagoonrudder.daemon.DaemonCore
-import lagoonrudder.daemon.PeerEnd
+import lagoonrudder.daemon.PeerRpcHandler
 import lagoonrudder.daemon.backend.HttpBackEnd
-import lagoonrudder.daemon.configuration.ConfigurationLoop
-import lagoonrudder.daemon.operators.DaemonView
+import lagoonrudder.daemon.configuration.ConfigurationSyncLoop
+import lagoonrudder.daemon.operators.DaemonDiagnostics
 import lagoonrudder.daemon.operators.OperatorServer
 import lagoonrudder.daemon.platform.WeightOrigin
 import lagoonrudder.model.Address
@@ -34,7 +34,7 @@
 class TargetDaemon(
     override val core: DaemonCore,
 ) : Daemon,
-    DaemonView {
+    DaemonDiagnostics {
     private val settings = core.settings
     private val slot = checkNotNull(settings.slot)
     private val backEnd = HttpBackEnd(core.http, slot.backEnd)
@@ -55,22 +55,22 @@
             weights = WeightFetchController(self(), core.options.sources, settings.limits.weights, core.invariants),
             service = core.service,
         )
-    private val weights = WeightLoop(core, control, backEnd, origin) { switch.poke() }
-    private val switch: SwitchLoop = SwitchLoop(core, control, backEnd, weights)
-    private val configuration = ConfigurationLoop(core) { configured() }
+    private val weights = WeightDistributionLoop(core, control, backEnd, origin) { switch.wake() }
+    private val switch: VersionSwitchLoop = VersionSwitchLoop(core, control, backEnd, weights)
+    private val configuration = ConfigurationSyncLoop(core) { onConfigurationChanged() }
     private val chain = FilterChain(targetFilters(control, backEnd, core.clock, core.invariants, core.options.engine))
     private val operators = OperatorServer(core, this)
     private var rpcServer: RpcServer? = null
 
     override suspend fun start(): DaemonAddresses {
-        val end = TargetEnd(control, chain, Reservations(control, core.rpc, core.clock), core.clock)
-        val rpc = RpcServer.start(settings.listen.rpc, core.scope.coroutineContext, PeerEnd(configuration, weights), end)
+        val handler = TargetRpcHandler(control, chain, Reservations(control, core.rpc, core.clock), core.clock)
+        val rpc = RpcServer.start(settings.listen.rpc, core.scope.coroutineContext, PeerRpcHandler(configuration, weights), handler)
         rpcServer = rpc
         val addresses = DaemonAddresses(Address(settings.listen.rpc.host, rpc.port), null, operators.start())
         configuration.start()
         weights.start()
         switch.start()
-        core.scope.launch { tick() }
+        core.scope.launch { runTicks() }
         core.log.info(
             "started",
             "role" to "target",
@@ -89,7 +89,7 @@
         }
         core.service.drained.await()
         rpcServer?.beginShutdown()
-        delay(LAST_ANSWERS)
+        delay(RESPONSE_FLUSH_TIME)
         core.log.info("stopped")
         close()
     }
@@ -112,32 +112,32 @@
 
     override fun dump(): List<DumpSection> = control.dump()
 
-    /** Until a set names the region of this daemon's failure domain, the domain stands for it. */
+    /** Uses the failure domain in place of its region until a configuration names the region. */
     private fun self() = WeightHolder(settings.name, settings.domain, RegionId(settings.domain.text))
 
-    private fun configured() {
+    private fun onConfigurationChanged() {
         control.configured()
-        weights.configured()
-        switch.poke()
+        weights.onConfigurationChanged()
+        switch.wake()
     }
 
-    private suspend fun tick() {
+    private suspend fun runTicks() {
         while (core.scope.isActive) {
-            val paused = core.thread.decide { control.wasPaused(CONFIRM_LIMIT) }
+            val paused = core.thread.decide { control.wasPaused(CONFIRM_TIMEOUT) }
             if (paused) core.scope.launch { confirmAfterPause() }
-            delay(TICK)
+            delay(TICK_INTERVAL)
         }
     }
 
     private suspend fun confirmAfterPause() {
         core.log.warning("paused", "action" to "confirm-configuration")
-        configuration.confirm(CONFIRM_LIMIT)
+        configuration.confirm(CONFIRM_TIMEOUT)
         core.thread.decide { control.publish() }
     }
 
     private companion object {
-        val TICK = 100.milliseconds
-        val CONFIRM_LIMIT = 1.seconds
-        val LAST_ANSWERS = 100.milliseconds
+        val TICK_INTERVAL = 100.milliseconds
+        val CONFIRM_TIMEOUT = 1.seconds
+        val RESPONSE_FLUSH_TIME = 100.milliseconds
     }
 }
