--- a/control/src/main/kotlin/lagoonrudder/control/direct/PeerController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/PeerController.kt
@@ -1,8 +1,8 @@
 /**
- * Decides which other daemons this process takes for alive, and adds up what entry daemons have in flight.
+ * Tracks which other daemons are alive and sums the requests that entry daemons have in flight.
  *
- * Seeds are only where the search starts; daemons then hear of each other from each other. A daemon counts as alive while
- * it was heard from recently, and is forgotten long after that.
+ * Discovery starts from the seed addresses; daemons then learn about each other through gossip. A daemon counts as alive
+ * while its last contact is recent, and is removed long after that.
  */
 package lagoonrudder.control.direct
 
@@ -19,7 +19,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** A daemon and where its peers reach it; [address] is null when it takes no calls. */
+/** A daemon and the address at which its peers reach it; [address] is null when it accepts no connections. */
 data class PeerDaemon(
     val daemon: DaemonId,
     val role: DaemonRole,
@@ -28,8 +28,8 @@
     val address: Address?,
 )
 
-/** A daemon that another one knows; [age] is how long ago it was last heard from. */
-data class PeerSighting(
+/** A daemon that a peer knows about; [age] is the time since its last contact. */
+data class LivePeer(
     val peer: PeerDaemon,
     val age: Duration,
 )
@@ -38,99 +38,99 @@
     val self: PeerDaemon,
     seeds: List<Address>,
 ) {
-    private class Known(
+    private class KnownPeer(
         var peer: PeerDaemon,
-        var heardAt: Duration,
+        var lastContactAt: Duration,
         var inFlight: Map<TargetId, Int> = emptyMap(),
         var inFlightAt: Duration = Duration.ZERO,
     )
 
-    private val known = mutableMapOf<DaemonId, Known>()
+    private val knownPeers = mutableMapOf<DaemonId, KnownPeer>()
     private var startedAt: Duration? = null
 
-    /** Where the search for other daemons starts; a reload of the settings may change it. */
+    /** The addresses from which discovery starts; a reload of the settings may change them. */
     var seeds: List<Address> = seeds
 
-    /** [peer] called or answered; [inFlight] is what it has at each back end. */
-    fun heard(
+    /** Records a gossip message or reply from [peer]; [inFlight] is its number of requests in flight at each back end. */
+    fun onGossipReceived(
         peer: PeerDaemon,
         inFlight: Map<TargetId, Int>,
         now: Duration,
     ) {
         if (peer.daemon == self.daemon) return
-        val entry = known.getOrPut(peer.daemon) { Known(peer, now) }
+        val entry = knownPeers.getOrPut(peer.daemon) { KnownPeer(peer, now) }
         entry.peer = peer
-        entry.heardAt = now
+        entry.lastContactAt = now
         entry.inFlight = inFlight
         entry.inFlightAt = now
     }
 
-    /** Another daemon passed on whom it knows. */
-    fun sighted(
-        sightings: List<PeerSighting>,
+    /** Merges the peers that another daemon knows about. */
+    fun mergeLivePeers(
+        livePeers: List<LivePeer>,
         now: Duration,
     ) {
-        for (sighting in sightings) {
-            if (sighting.peer.daemon == self.daemon || sighting.age > FORGET_AFTER) continue
-            val entry = known.getOrPut(sighting.peer.daemon) { Known(sighting.peer, now - sighting.age) }
-            entry.heardAt = maxOf(entry.heardAt, now - sighting.age)
+        for (other in livePeers) {
+            if (other.peer.daemon == self.daemon || other.age > REMOVAL_TIMEOUT) continue
+            val entry = knownPeers.getOrPut(other.peer.daemon) { KnownPeer(other.peer, now - other.age) }
+            entry.lastContactAt = maxOf(entry.lastContactAt, now - other.age)
         }
     }
 
-    /** The live entry daemons that this one has heard of. */
-    fun sightings(now: Duration): List<PeerSighting> = aliveEntries(now).map { PeerSighting(it.peer, now - it.heardAt) }
+    /** Returns the live entry daemons other than this one. */
+    fun livePeers(now: Duration): List<LivePeer> = liveKnownEntries(now).map { LivePeer(it.peer, now - it.lastContactAt) }
 
-    /** The entry daemons to exchange with, and the seeds that are none of them. */
-    fun partners(now: Duration): List<Address> {
-        forget(now)
+    /** Returns the addresses to gossip with: those of all known entry daemons and the seeds. */
+    fun gossipAddresses(now: Duration): List<Address> {
+        removeExpired(now)
         return (knownEntries().mapNotNull { it.peer.address } + seeds).distinct() - listOfNotNull(self.address).toSet()
     }
 
-    /** The live entry daemons, with this one if it is one. */
+    /** Returns the live entry daemons, including this one if it has that role. */
     fun liveEntries(now: Duration): List<PeerDaemon> {
-        val others = aliveEntries(now).map { it.peer }
+        val others = liveKnownEntries(now).map { it.peer }
         return if (self.role == DaemonRole.ENTRY) others + self else others
     }
 
     /**
-     * The number of entry daemons that may be sending, alive or cut off, with this one. A process that has just started
-     * assumes that there are more than it has heard of.
+     * Returns the number of entry daemons that may be sending requests, including this one and those that are partitioned. A
+     * process that has just started assumes that there are more than it has discovered.
      */
     fun entryCount(now: Duration): Int {
         val first = startedAt ?: now.also { startedAt = it }
-        val heardOf = 1 + knownEntries().size
-        return if (now - first < ACQUAINTANCE) maxOf(heardOf, ASSUMED_ENTRIES) else heardOf
+        val discovered = 1 + knownEntries().size
+        return if (now - first < DISCOVERY_TIME) maxOf(discovered, ASSUMED_ENTRY_DAEMONS) else discovered
     }
 
-    /** What the other entry daemons have in flight at [target], as far as their word is fresh. */
+    /** Returns the requests that other entry daemons have in flight at [target], ignoring expired reports. */
     fun inFlightElsewhere(
         target: TargetId,
         now: Duration,
-    ): Int = known.values.sumOf { if (now - it.inFlightAt < WORD_FRESH_FOR) it.inFlight[target] ?: 0 else 0 }
+    ): Int = knownPeers.values.sumOf { if (now - it.inFlightAt < IN_FLIGHT_TTL) it.inFlight[target] ?: 0 else 0 }
 
     fun dump(now: Duration): DumpSection =
         dumpSection("peers") {
             entry("self", self)
-            for (each in known.values) entry(each.peer.daemon.text, "${each.peer.address} heard=${now - each.heardAt}")
+            for (known in knownPeers.values) entry(known.peer.daemon.text, "${known.peer.address} heard=${now - known.lastContactAt}")
         }
 
-    private fun knownEntries(): List<Known> = known.values.filter { it.peer.role == DaemonRole.ENTRY }
+    private fun knownEntries(): List<KnownPeer> = knownPeers.values.filter { it.peer.role == DaemonRole.ENTRY }
 
-    private fun aliveEntries(now: Duration): List<Known> = knownEntries().filter { now - it.heardAt < ALIVE_FOR }
+    private fun liveKnownEntries(now: Duration): List<KnownPeer> = knownEntries().filter { now - it.lastContactAt < LIVENESS_TIMEOUT }
 
-    private fun forget(now: Duration) {
-        known.values.removeIf { now - it.heardAt > FORGET_AFTER }
+    private fun removeExpired(now: Duration) {
+        knownPeers.values.removeIf { now - it.lastContactAt > REMOVAL_TIMEOUT }
     }
 
     private companion object {
-        val ALIVE_FOR = 2.seconds
+        val LIVENESS_TIMEOUT = 2.seconds
 
-        /** A daemon that is cut off goes on sending, so it counts for shares long after it was last heard from. */
-        val FORGET_AFTER = 60.seconds
+        /** A partitioned daemon keeps sending, so it counts towards the shares long after its last contact. */
+        val REMOVAL_TIMEOUT = 60.seconds
 
-        /** By then every reachable daemon was heard of. */
-        val ACQUAINTANCE = 3.seconds
-        const val ASSUMED_ENTRIES = 10
-        val WORD_FRESH_FOR = 1_500.milliseconds
+        /** The time within which every reachable daemon has been discovered. */
+        val DISCOVERY_TIME = 3.seconds
+        const val ASSUMED_ENTRY_DAEMONS = 10
+        val IN_FLIGHT_TTL = 1_500.milliseconds
     }
 }
--- a/control/src/main/kotlin/lagoonrudder/control/direct/PlacementController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/PlacementController.kt
@@ -1,10 +1,10 @@
 /**
- * Decides which back end gets a request, and which requests wait or are refused while all are full.
+ * Assigns requests to back ends and queues or refuses them while all back ends are at capacity.
  *
- * A back end's load is what this process has in flight there and what the other entry daemons say they have. A request goes
- * to the back end with the smallest share of its places taken, the own failure domain first, whose loads are known best.
- * Under overload a request that can still be in time goes before one that can't. Each process keeps to its part of the rate
- * that a cold back end bears, at all times, because a back end may turn cold without notice.
+ * The load of a back end is the number of requests in flight there, from this process and as reported by other entry daemons.
+ * A request goes to the back end with the lowest utilization, with a preference for this daemon's own failure domain, whose
+ * load is known best. Under overload a request that can still meet its latency objective goes before one that can't. Each
+ * process keeps to its share of a cold back end's request rate at all times, because a back end may become cold without notice.
  */
 package lagoonrudder.control.direct
 
@@ -25,13 +25,16 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Where the daemons and back ends are. */
-data class Places(
+/** The failure domain of this daemon, and the region of each failure domain. */
+data class Topology(
     val domain: DomainId,
     val regions: Map<DomainId, RegionId>,
 )
 
-/** What the rules of the deployment allow: times of switching, and how far a cold back end's rate may be passed. */
+/**
+ * The limits of the deployment. [versionLimit] bounds how long back ends may serve an older version after a newer one was
+ * declared; [coldRatio] and [coldAllowance] scale and extend the request rate of a cold back end.
+ */
 data class PlacementBounds(
     val versionLimit: Duration,
     val coldRatio: Double,
@@ -39,23 +42,23 @@
 )
 
 /**
- * What a request needs of a back end. [passedOver] are back ends that it must not go to again, [number] the version that began
- * its answer, where it has begun, [promptTokens] the length of its prompt as far as its caller says, [isLate] whether its
- * objective had passed before it came.
+ * The requirements of a request on its back end. [excluded] are the back ends that it must not be sent to again, [number] is
+ * the version that produced the start of its response, if any, [promptTokens] the length of its prompt as stated by the caller,
+ * and [isLate] is set if its latency objective had passed before it arrived.
  */
-data class PlacementNeed(
+data class PlacementRequest(
     val service: ServiceId,
     val customer: CustomerId?,
     val priority: Int,
     val homes: List<Set<RegionId>>,
-    val passedOver: Set<TargetId>,
+    val excluded: Set<TargetId>,
     val number: WeightNumber?,
     val promptTokens: Int,
     val isLate: Boolean,
 )
 
 sealed class Placement {
-    /** [number] is the version that the back end must hold, where a request may no longer run on an older one. */
+    /** [number] is the version that the back end must hold if the request may not run on an older one. */
     data class Placed(
         val backEnd: BackEnd,
         val number: WeightNumber?,
@@ -68,242 +71,252 @@
 }
 
 class PlacementController(
-    private val places: Places,
+    private val topology: Topology,
     private val bounds: PlacementBounds,
-    private val publication: PublicationController,
+    private val storeView: StoreViewController,
     private val peers: PeerController,
-    private val slots: SlotController,
+    private val backEndStates: BackEndStateController,
     private val random: Random,
 ) {
-    private class Waiting(
-        val need: PlacementNeed,
-        val since: Duration,
-        val until: Duration,
+    private class QueuedRequest(
+        val request: PlacementRequest,
+        val queuedAt: Duration,
+        val deadline: Duration,
     ) {
-        val decided = CompletableDeferred<Placement>()
+        val result = CompletableDeferred<Placement>()
     }
 
-    private val uses = mutableMapOf<TargetId, BackEndUse>()
-    private val line = mutableListOf<Waiting>()
+    private val statsByTarget = mutableMapOf<TargetId, BackEndStats>()
+    private val queue = mutableListOf<QueuedRequest>()
     private val inFlightOf = mutableMapOf<CustomerId, Int>()
 
-    /** Places a request now, or puts it in line for at most [patience]; the result is complete in either case or becomes so. */
+    /** Assigns a back end to the request now, or queues the request for at most [maxWait] and completes the result later. */
     fun place(
-        need: PlacementNeed,
-        patience: Duration,
+        request: PlacementRequest,
+        maxWait: Duration,
         now: Duration,
     ): CompletableDeferred<Placement> {
-        val placement = attempt(need, now)
-        val waits = mayWait(placement) && line.size < LONGEST_LINE
-        if (!waits || patience <= Duration.ZERO) return CompletableDeferred(placement)
-        return Waiting(need, now, now + patience).also { line += it }.decided
+        val placement = tryPlace(request, now)
+        val queues = mayQueue(placement) && queue.size < MAX_QUEUE_LENGTH
+        if (!queues || maxWait <= Duration.ZERO) return CompletableDeferred(placement)
+        return QueuedRequest(request, now, now + maxWait).also { queue += it }.result
     }
 
-    /** The patience of a request in line is over: it gets a place now or none. */
-    fun decideNow(
+    /** Ends the wait of a queued request: it is placed now or refused. */
+    fun onWaitTimeout(
         decision: CompletableDeferred<Placement>,
         now: Duration,
     ) {
-        val waiting = line.firstOrNull { it.decided === decision } ?: return
-        line.remove(waiting)
-        waiting.decided.complete(attempt(waiting.need, now))
+        val queued = queue.firstOrNull { it.result === decision } ?: return
+        queue.remove(queued)
+        queued.result.complete(tryPlace(queued.request, now))
     }
 
-    /** The caller of a request in line is gone. */
-    fun withdraw(decision: CompletableDeferred<Placement>) {
-        line.removeAll { it.decided === decision }
+    /** Removes a queued request whose caller has disconnected. */
+    fun cancelWaiting(decision: CompletableDeferred<Placement>) {
+        queue.removeAll { it.result === decision }
     }
 
-    /** An attempt has ended; its place is free for the next in line. */
-    fun ended(
+    /** Releases the slot of an attempt that has ended and dispatches queued requests. */
+    fun onAttemptEnded(
         target: TargetId,
         customer: CustomerId?,
-        end: AttemptEnd,
+        outcome: AttemptOutcome,
         now: Duration,
     ) {
-        useOf(target).ended(end, now)
+        statsOf(target).recordOutcome(outcome, now)
         if (customer != null) inFlightOf.merge(customer, -1, Int::plus)
-        serveLine(now)
+        dispatchQueued(now)
     }
 
-    /** Serves and ends what is in line; called when something changed and now and then. */
-    fun serveLine(now: Duration) {
-        if (line.isEmpty()) return
-        // A place serves somebody in time only if it goes to a request that can still be in time.
-        line.sortWith(compareBy({ it.need.priority }, { it.need.isLate }, { inFlightOf[it.need.customer] ?: 0 }, { it.since }))
-        val entries = line.iterator()
-        while (entries.hasNext()) {
-            val waiting = entries.next()
-            val placement = attempt(waiting.need, now)
-            if (mayWait(placement) && now < waiting.until) continue
-            entries.remove()
-            waiting.decided.complete(placement)
+    /** Dispatches queued requests and refuses those whose wait is over; called after changes and periodically. */
+    fun dispatchQueued(now: Duration) {
+        if (queue.isEmpty()) return
+        // A slot helps to meet a latency objective only if it goes to a request that can still meet its own.
+        queue.sortWith(compareBy({ it.request.priority }, { it.request.isLate }, { inFlightOf[it.request.customer] ?: 0 }, { it.queuedAt }))
+        val iterator = queue.iterator()
+        while (iterator.hasNext()) {
+            val queued = iterator.next()
+            val placement = tryPlace(queued.request, now)
+            if (mayQueue(placement) && now < queued.deadline) continue
+            iterator.remove()
+            queued.result.complete(placement)
         }
     }
 
-    /** Forgets back ends that are gone. */
-    fun published() {
-        uses.keys.removeIf { publication.backEnd(it) == null && (uses[it]?.inFlight ?: 0) == 0 }
+    /** Removes the statistics of back ends that are no longer registered. */
+    fun removeStaleStats() {
+        statsByTarget.keys.removeIf { storeView.backEnd(it) == null && (statsByTarget[it]?.inFlight ?: 0) == 0 }
     }
 
-    /** What this process has in flight at each back end. */
-    fun inFlight(): Map<TargetId, Int> = uses.filterValues { it.inFlight > 0 }.mapValues { it.value.inFlight }
+    /** Returns the number of requests that this process has in flight at each back end. */
+    fun inFlight(): Map<TargetId, Int> = statsByTarget.filterValues { it.inFlight > 0 }.mapValues { it.value.inFlight }
 
-    fun waiting(): Int = line.size
+    fun queueLength(): Int = queue.size
 
     fun dump(now: Duration): DumpSection =
         dumpSection("placement") {
-            entry("waiting", line.size)
-            for ((id, use) in uses) {
-                val elsewhere = peers.inFlightElsewhere(id, now)
-                val aside = use.asideUntil - now
-                entry(id.text, "in-flight=${use.inFlight} elsewhere=$elsewhere failures=${use.failures} aside=$aside")
+            entry("waiting", queue.size)
+            for ((id, stats) in statsByTarget) {
+                val inFlightElsewhere = peers.inFlightElsewhere(id, now)
+                val ejectedFor = stats.ejectedUntil - now
+                entry(id.text, "in-flight=${stats.inFlight} elsewhere=$inFlightElsewhere failures=${stats.failures} aside=$ejectedFor")
             }
         }
 
-    /** Whether all that keeps a request from a back end is that their places are taken. */
-    private fun mayWait(placement: Placement) = placement is Placement.Refused && placement.refusal is Refusal.Overloaded
+    /** Returns whether a request may wait, which is the case if back ends are only at capacity. */
+    private fun mayQueue(placement: Placement) = placement is Placement.Refused && placement.refusal is Refusal.Overloaded
 
-    private fun attempt(
-        need: PlacementNeed,
+    private fun tryPlace(
+        request: PlacementRequest,
         now: Duration,
     ): Placement {
-        val usable = publication.backEnds.filter { it.service == need.service && isUsable(it, need, now) }
-        if (usable.isEmpty()) return Placement.Refused(Refusal.NoTarget(NO_TARGET_RETRY), reasonOf(need, now))
-        val rested = usable.filter { useOf(it.id).asideUntil <= now }.ifEmpty { listOf(usable.minBy { useOf(it.id).asideUntil }) }
-        val free = rested.filter { load(it, now) < mostInFlight(it, need, now) && bearsOneMore(it, now) }
-        if (free.isEmpty()) return Placement.Refused(Refusal.Overloaded(FULL_RETRY), "full back-ends=${rested.size}")
-        val chosen = free.minBy { score(it, now) }
-        useOf(chosen.id).send(need.promptTokens, now)
-        if (need.customer != null) inFlightOf.merge(need.customer, 1, Int::plus)
-        return Placement.Placed(chosen, requiredNumber(slots.held(chosen, now), need, now))
+        val eligible = storeView.backEnds.filter { it.service == request.service && isEligible(it, request, now) }
+        if (eligible.isEmpty()) return Placement.Refused(Refusal.NoTarget(NO_TARGET_RETRY), reasonOf(request, now))
+        val candidates =
+            eligible
+                .filter { statsOf(it.id).ejectedUntil <= now }
+                .ifEmpty { listOf(eligible.minBy { statsOf(it.id).ejectedUntil }) }
+        val available = candidates.filter { load(it, now) < maxInFlight(it, request, now) && isWithinColdRate(it, now) }
+        if (available.isEmpty()) return Placement.Refused(Refusal.Overloaded(FULL_RETRY), "full back-ends=${candidates.size}")
+        val chosen = available.minBy { score(it, now) }
+        statsOf(chosen.id).recordSend(request.promptTokens, now)
+        if (request.customer != null) inFlightOf.merge(request.customer, 1, Int::plus)
+        return Placement.Placed(chosen, requiredNumber(backEndStates.held(chosen, now), request, now))
     }
 
-    private fun isUsable(
+    private fun isEligible(
         backEnd: BackEnd,
-        need: PlacementNeed,
+        request: PlacementRequest,
         now: Duration,
     ): Boolean {
-        val region = places.regions[backEnd.domain]
-        val inHomes = need.homes.all { it.isEmpty() || region in it }
+        val region = topology.regions[backEnd.domain]
+        val inHomeRegions = request.homes.all { it.isEmpty() || region in it }
         val isOpen =
-            !backEnd.leaving && backEnd.domain !in publication.evacuated && !slots.closed(backEnd, now) && backEnd.id !in need.passedOver
-        return isOpen && inHomes && holdsWeights(backEnd, need, now)
+            !backEnd.leaving &&
+                backEnd.domain !in storeView.evacuated &&
+                !backEndStates.closed(backEnd, now) &&
+                backEnd.id !in request.excluded
+        return isOpen && inHomeRegions && holdsWeights(backEnd, request, now)
     }
 
     private fun holdsWeights(
         backEnd: BackEnd,
-        need: PlacementNeed,
+        request: PlacementRequest,
         now: Duration,
     ): Boolean {
-        val layout = publication.serving?.service(backEnd.service)?.weights ?: return true
-        val held = slots.held(backEnd, now) ?: return false
+        val layout = storeView.serving?.service(backEnd.service)?.weights ?: return true
+        val held = backEndStates.held(backEnd, now) ?: return false
         if (held.layers < layout.layers) return false
-        val begun = need.number
-        if (begun != null && held.number != begun) return false
-        val required = requiredNumber(held, need, now) ?: return true
+        val pinned = request.number
+        if (pinned != null && held.number != pinned) return false
+        val required = requiredNumber(held, request, now) ?: return true
         return held.number >= required
     }
 
-    /** The version that a request must begin on: the declared one once its time to spread is nearly over. */
+    /** Returns the version that a request must start on: the declared one once its rollout time is nearly over. */
     private fun requiredNumber(
         held: HeldWeights?,
-        need: PlacementNeed,
+        request: PlacementRequest,
         now: Duration,
     ): WeightNumber? {
-        val declared = held?.let { publication.declaredBy(it.model, now - bounds.versionLimit + SWITCH_MARGIN) }
-        return declared?.number ?: need.number
+        val declared = held?.let { storeView.declaredAsOf(it.model, now - bounds.versionLimit + SWITCH_MARGIN) }
+        return declared?.number ?: request.number
     }
 
     private fun reasonOf(
-        need: PlacementNeed,
+        request: PlacementRequest,
         now: Duration,
     ): String {
-        val all = publication.backEnds.filter { it.service == need.service }
-        val without = all.count { !holdsWeights(it, need, now) }
+        val all = storeView.backEnds.filter { it.service == request.service }
+        val withoutWeights = all.count { !holdsWeights(it, request, now) }
         val leaving = all.count { it.leaving }
-        return "no back end listed=${all.size} leaving=$leaving without-weights=$without passed-over=${need.passedOver.size}"
+        return "no back end listed=${all.size} leaving=$leaving without-weights=$withoutWeights passed-over=${request.excluded.size}"
     }
 
     private fun load(
         backEnd: BackEnd,
         now: Duration,
-    ): Int = useOf(backEnd.id).inFlight + peers.inFlightElsewhere(backEnd.id, now)
+    ): Int = statsOf(backEnd.id).inFlight + peers.inFlightElsewhere(backEnd.id, now)
 
     /**
-     * A place in an engine's batch is taken for a second, one in a plain service for milliseconds. The last places of an engine
-     * are kept for requests that can still be in time.
+     * Returns the number of requests that may be in flight at [backEnd]. A slot in an engine's batch is occupied for a second,
+     * one in a plain service for milliseconds. The last slots of an engine are reserved for requests that can still meet their
+     * latency objective.
      */
-    private fun mostInFlight(
+    private fun maxInFlight(
         backEnd: BackEnd,
-        need: PlacementNeed,
+        request: PlacementRequest,
         now: Duration,
     ): Int {
-        val isEngine = publication.serving?.service(backEnd.service)?.weights != null
+        val isEngine = storeView.serving?.service(backEnd.service)?.weights != null
         return when {
             !isEngine -> backEnd.slots + QUEUED_CALLS
-            isDueSoon(backEnd, now) -> (backEnd.slots - SPARED_WHEN_DUE).coerceAtLeast(1)
-            need.isLate -> (backEnd.slots - KEPT_FROM_LATE).coerceAtLeast(1)
+            isNearSwitchDeadline(backEnd, now) -> (backEnd.slots - RESERVED_NEAR_DEADLINE).coerceAtLeast(1)
+            request.isLate -> (backEnd.slots - RESERVED_FROM_LATE).coerceAtLeast(1)
             else -> backEnd.slots + QUEUED_STREAMS
         }
     }
 
-    /** Whether [backEnd] is about to be too old: a request that waits in its queue could begin after the bound. */
-    private fun isDueSoon(
+    /** Returns whether [backEnd] is close to its switch deadline, so that a request in its own queue could start too late. */
+    private fun isNearSwitchDeadline(
         backEnd: BackEnd,
         now: Duration,
     ): Boolean {
-        val held = slots.held(backEnd, now) ?: return false
-        val due = publication.declaredBy(held.model, now - bounds.versionLimit + SWITCH_MARGIN + DUE_SOON) ?: return false
-        return held.number < due.number
+        val held = backEndStates.held(backEnd, now) ?: return false
+        val declared = storeView.declaredAsOf(held.model, now - bounds.versionLimit + SWITCH_MARGIN + DEADLINE_NOTICE) ?: return false
+        return held.number < declared.number
     }
 
-    private fun bearsOneMore(
+    private fun isWithinColdRate(
         backEnd: BackEnd,
         now: Duration,
     ): Boolean {
-        val rate = publication.serving?.service(backEnd.service)?.coldRequestsPerSecond ?: return true
-        val most = (rate * bounds.coldRatio + bounds.coldAllowance) * COLD_SAFE_PART / peers.entryCount(now)
-        return useOf(backEnd.id).sentLately(now) + 1 <= most.coerceAtLeast(1.0)
+        val rate = storeView.serving?.service(backEnd.service)?.coldRequestsPerSecond ?: return true
+        val maxRequests = (rate * bounds.coldRatio + bounds.coldAllowance) * COLD_RATE_SAFETY_FACTOR / peers.entryCount(now)
+        return statsOf(backEnd.id).recentRequests(now) + 1 <= maxRequests.coerceAtLeast(1.0)
     }
 
     private fun score(
         backEnd: BackEnd,
         now: Duration,
     ): Double {
-        val places = backEnd.slots.coerceAtLeast(1)
-        val distance = if (backEnd.domain == this.places.domain) 0.0 else DISTANCE_PENALTY
-        val reading = useOf(backEnd.id).tokensInReading(now) * PENALTY_OF_READ_TOKEN
-        return (load(backEnd, now) + random.nextDouble() + distance + reading) / places
+        val slots = backEnd.slots.coerceAtLeast(1)
+        val distance = if (backEnd.domain == this.topology.domain) 0.0 else DISTANCE_PENALTY
+        val prefill = statsOf(backEnd.id).prefillTokens(now) * PREFILL_TOKEN_PENALTY
+        return (load(backEnd, now) + random.nextDouble() + distance + prefill) / slots
     }
 
-    private fun useOf(target: TargetId) = uses.getOrPut(target) { BackEndUse() }
+    private fun statsOf(target: TargetId) = statsByTarget.getOrPut(target) { BackEndStats() }
 
     private companion object {
-        /** What may wait in a back end's own queue without making answers late. */
+        /** The number of requests that may wait in a back end's own queue without delaying responses beyond their objective. */
         const val QUEUED_STREAMS = 1
         const val QUEUED_CALLS = 4
-        const val LONGEST_LINE = 200
+        const val MAX_QUEUE_LENGTH = 200
 
-        /** In requests: what this process knows of other domains is older than words between neighbours. */
+        /** In requests: load reports from other failure domains are older than those from peers nearby. */
         const val DISTANCE_PENALTY = 3.0
 
-        /** In requests: 1,000 tokens that are being read put a first event off by about a pass of the engine. */
-        const val PENALTY_OF_READ_TOKEN = 0.002
+        /** In requests: 1,000 tokens in prefill delay a first event by about one batch iteration of the engine. */
+        const val PREFILL_TOKEN_PENALTY = 0.002
         val NO_TARGET_RETRY = 1_000.milliseconds
         val FULL_RETRY = 1_000.milliseconds
 
-        /** Requests sent within the margin may still wait in a back end's queue when the time to switch is over. */
+        /** Requests sent within this margin may still wait in a back end's own queue at the switch deadline. */
         val SWITCH_MARGIN = 1_200.milliseconds
 
-        /** Before that, a back end with the older version gets no more than it can begin at once, by words that may be old. */
-        val DUE_SOON = 1_000.milliseconds
-        const val SPARED_WHEN_DUE = 3
+        /**
+         * For this long before the margin, a back end with the older version gets no more than it can start at once, because the
+         * reports about its load may be stale.
+         */
+        val DEADLINE_NOTICE = 1_000.milliseconds
+        const val RESERVED_NEAR_DEADLINE = 3
 
-        /** Places of an engine; that many are freed in the time between two words of a neighbour. */
-        const val KEPT_FROM_LATE = 2
+        /** Slots of an engine: that many become free between two gossip messages of a peer nearby. */
+        const val RESERVED_FROM_LATE = 2
 
-        /** The rest is left for entry daemons that this one hasn't heard of and for requests that arrive late together. */
-        const val COLD_SAFE_PART = 0.9
+        /** The remainder is left to entry daemons that this one has not discovered and to requests that are delayed and arrive together. */
+        const val COLD_RATE_SAFETY_FACTOR = 0.9
     }
 }
--- a/control/src/main/kotlin/lagoonrudder/control/direct/StagingController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/StagingController.kt
@@ -1,8 +1,8 @@
 /**
- * Decides at a target daemon which weights its back end is to load, from where each piece comes, and when to switch.
+ * Decides which weights a back end loads, from which source each chunk is fetched, and when the back end switches.
  *
- * Entry daemons have wide links and draw each piece from the origin about once for all; a target daemon asks the entry
- * daemon of its region that leads a piece, then others, and the origin last.
+ * Entry daemons have high-bandwidth links and fetch each chunk from the origin about once for all; a target daemon asks the
+ * entry daemon that is the primary source of the chunk in its region, then other entry daemons, and the origin last.
  */
 package lagoonrudder.control.direct
 
@@ -18,7 +18,7 @@
 import lagoonrudder.model.rendezvousOrder
 import kotlin.time.Duration
 
-/** What a back end reports. [born] is its start; [orders] counts the orders that it accepted since then. */
+/** The state that a back end reports. [born] is its start time; [orders] counts the orders that it has accepted since then. */
 data class BackEndReport(
     val born: Long,
     val held: HeldWeights?,
@@ -28,130 +28,130 @@
     val waiting: Int,
 )
 
-/** The digest of each piece of one version. */
+/** The digests of all chunks of one version. */
 data class WeightManifest(
     val model: ModelId,
     val number: WeightNumber,
     val digests: List<Digest>,
 )
 
-sealed class OrderAnswer {
-    data object Begun : OrderAnswer()
+sealed class OrderResponse {
+    data object Accepted : OrderResponse()
 
-    /** The order was carried out before. */
-    data object InEffect : OrderAnswer()
+    /** The order has already been carried out. */
+    data object AlreadyApplied : OrderResponse()
 
     data class Declined(
         val status: Int,
         val detail: String,
-    ) : OrderAnswer()
+    ) : OrderResponse()
 }
 
-/** The weights to load; a [number] of null is the newest that the origin names. */
-data class WantedWeights(
+/** The weights to load; a null [number] stands for the newest version at the origin. */
+data class WeightsToLoad(
     val model: ModelId,
     val number: WeightNumber?,
 )
 
-/** Where a piece or a manifest can be drawn. */
-sealed class PieceSource {
+/** A source from which a chunk or a manifest can be fetched. */
+sealed class WeightSource {
     data class Entry(
         val address: Address,
-    ) : PieceSource()
+    ) : WeightSource()
 
     data class Origin(
         val address: Address,
-    ) : PieceSource()
+    ) : WeightSource()
 }
 
 class StagingController(
     private val peers: PeerController,
-    private val publication: PublicationController,
-    private val turns: SwitchTurns,
+    private val storeView: StoreViewController,
+    private val schedule: SwitchSchedule,
     private val regions: Map<DomainId, RegionId>,
 ) {
-    /** What the back end of [service] with [report] lacks; null when it has what it should. */
-    fun wanted(
+    /** Returns the weights that the back end of [service] with [report] must load; null if it holds the required ones. */
+    fun weightsToLoad(
         service: ServiceId,
         report: BackEndReport,
-    ): WantedWeights? {
-        val layout = publication.serving?.service(service)?.weights ?: return null
+    ): WeightsToLoad? {
+        val layout = storeView.serving?.service(service)?.weights ?: return null
         val model = layout.models.firstOrNull() ?: return null
-        val declared = publication.declared(model)
+        val declared = storeView.declared(model)
         val held = report.held?.takeIf { it.model == model && it.layers >= layout.layers }
         val satisfied = held != null && (declared == null || held.number >= declared.number)
-        return if (satisfied) null else WantedWeights(model, declared?.number)
+        return if (satisfied) null else WeightsToLoad(model, declared?.number)
     }
 
     /**
-     * Whether to go on staging [number], of which [staged] pieces out of [all] are there, although a newer version was
-     * declared: one that is half done is finished, in case the newer one can't be drawn before the older one is due.
+     * Returns whether to continue staging [number], of which [staged] of [total] chunks are present, after a newer version was
+     * declared: a version that is half staged is completed, in case the newer one can't be fetched before the older one is due.
      */
-    fun finishes(
+    fun shouldFinishStaging(
         model: ModelId,
         number: WeightNumber,
         staged: Int,
-        all: Int,
+        total: Int,
     ): Boolean {
-        val newest = publication.declared(model)?.number ?: return true
-        return number >= newest || staged * 2 >= all
+        val newest = storeView.declared(model)?.number ?: return true
+        return number >= newest || staged * 2 >= total
     }
 
-    /** Where a target daemon draws piece [index], best first. */
+    /** Returns the sources from which a target daemon fetches chunk [index], in order of preference. */
     fun sources(
         model: ModelId,
         number: WeightNumber?,
         index: Int,
         now: Duration,
-    ): List<PieceSource> {
-        val (near, far) = peers.liveEntries(now).filter { it.address != null }.partition { it.region == peers.self.region }
-        val entries = ordered(near, model, number, index).take(NEAR_SOURCES) + ordered(far, model, number, index).take(FAR_SOURCES)
-        return entries.mapNotNull { it.address }.map { PieceSource.Entry(it) } + listOfNotNull(origin()).map { PieceSource.Origin(it) }
+    ): List<WeightSource> {
+        val (nearby, remote) = peers.liveEntries(now).filter { it.address != null }.partition { it.region == peers.self.region }
+        val entries = ranked(nearby, model, number, index).take(LOCAL_SOURCES) + ranked(remote, model, number, index).take(REMOTE_SOURCES)
+        return entries.mapNotNull { it.address }.map { WeightSource.Entry(it) } + listOfNotNull(origin()).map { WeightSource.Origin(it) }
     }
 
-    /** Where an entry daemon draws piece [index]: the entry daemon that leads it in the origin's region, else the origin. */
-    fun sourcesAbove(
+    /** Returns the sources of chunk [index] for an entry daemon: the chunk's primary source in the origin's region, then the origin. */
+    fun upstreamSources(
         model: ModelId,
         number: WeightNumber?,
         index: Int,
         now: Duration,
-    ): List<PieceSource> {
+    ): List<WeightSource> {
         val entries = peers.liveEntries(now)
-        val nearOrigin = entries.filter { it.region == originRegion() }.ifEmpty { entries }
-        val lead = ordered(nearOrigin, model, number, index).firstOrNull()
-        val fromLead = lead?.takeIf { it.daemon != peers.self.daemon }?.address?.let { PieceSource.Entry(it) }
-        return listOfNotNull(fromLead, origin()?.let { PieceSource.Origin(it) })
+        val inOriginRegion = entries.filter { it.region == originRegion() }.ifEmpty { entries }
+        val primary = ranked(inOriginRegion, model, number, index).firstOrNull()
+        val fromPrimary = primary?.takeIf { it.daemon != peers.self.daemon }?.address?.let { WeightSource.Entry(it) }
+        return listOfNotNull(fromPrimary, origin()?.let { WeightSource.Origin(it) })
     }
 
-    /** Whether this entry daemon is the first that the target daemons of its region ask for piece [index]. */
-    fun leads(
+    /** Returns whether this entry daemon is the first that the target daemons of its region ask for chunk [index]. */
+    fun isPrimarySource(
         model: ModelId,
         number: WeightNumber,
         index: Int,
         now: Duration,
     ): Boolean {
-        val near = peers.liveEntries(now).filter { it.region == peers.self.region }
-        return ordered(near, model, number, index).firstOrNull()?.daemon == peers.self.daemon
+        val nearby = peers.liveEntries(now).filter { it.region == peers.self.region }
+        return ranked(nearby, model, number, index).firstOrNull()?.daemon == peers.self.daemon
     }
 
-    /** When the back end of [service] at [address] is to switch to [number]; null when it serves nothing and needn't wait. */
-    fun turn(
+    /** Returns when the back end of [service] at [address] switches to [number]; null if it serves nothing and need not wait. */
+    fun scheduledSwitch(
         service: ServiceId,
         address: Address,
         report: BackEndReport,
         number: WeightNumber,
-    ): SwitchTurn? =
-        publication.backEnds
+    ): ScheduledSwitch? =
+        storeView.backEnds
             .firstOrNull { it.service == service && it.address == address }
-            ?.let { turns.turn(it, report.held, number) }
+            ?.let { schedule.scheduledSwitch(it, report.held, number) }
 
-    private fun originService(): ServingService? = publication.serving?.services?.firstOrNull { it.origin != null }
+    private fun originService(): ServingService? = storeView.serving?.services?.firstOrNull { it.origin != null }
 
     private fun origin(): Address? = originService()?.origin
 
     private fun originRegion(): RegionId? = originService()?.originDomain?.let { regions[it] }
 
-    private fun ordered(
+    private fun ranked(
         candidates: List<PeerDaemon>,
         model: ModelId,
         number: WeightNumber?,
@@ -159,7 +159,7 @@
     ) = rendezvousOrder("${model.text} ${number?.number} $index", candidates) { it.daemon.text }
 
     private companion object {
-        const val NEAR_SOURCES = 2
-        const val FAR_SOURCES = 1
+        const val LOCAL_SOURCES = 2
+        const val REMOTE_SOURCES = 1
     }
 }
--- a/control/src/main/kotlin/lagoonrudder/control/direct/PublicationController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/StoreViewController.kt
@@ -1,8 +1,8 @@
 /**
- * Decides what is in force of what operators and back ends publish in the platform's store.
+ * Keeps this process's view of the items that operators and back ends publish in the platform's store.
  *
- * Every item carries the revision of its last change, and an item never gives way to an older one, whoever offers it: the
- * store, a stale read, or a peer. Removed items leave a tombstone, so that a peer can be told of the removal.
+ * Every item carries the revision of its last change, and an item is never replaced by an older one, whether that comes from
+ * the store, a stale read or a peer. Removed items leave a tombstone, so that peers learn of the removal.
  */
 package lagoonrudder.control.direct
 
@@ -23,32 +23,32 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** An item as the store holds it; [value] is null once it was removed. */
+/** An item as the store holds it; [value] is null after its removal. */
 class StoreItem(
     val key: String,
     val revision: Long,
     val value: ByteArray?,
 )
 
-/** An item together with what it says; [published] is null for a removed item. */
-class ReadItem(
+/** An item together with its decoded value; [published] is null for a removed item. */
+class DecodedItem(
     val item: StoreItem,
     val published: Published?,
 )
 
-/** The version of a model that back ends are to hold, and when this process learned of it. */
+/** The version of a model that back ends must hold, and the time at which this process learned of it. */
 data class DeclaredWeights(
     val model: ModelId,
     val number: WeightNumber,
     val since: Duration,
 )
 
-/** What a batch of items changed. */
-data class PublicationChange(
+/** The changes that a batch of items caused; [evacuated] is null if the set of evacuated failure domains did not change. */
+data class StoreViewChange(
     val serving: ServingSet?,
-    val joined: List<BackEnd>,
+    val added: List<BackEnd>,
     val changed: List<BackEnd>,
-    val gone: List<TargetId>,
+    val removed: List<TargetId>,
     val declared: List<DeclaredWeights>,
     val evacuated: Set<DomainId>?,
     val unusable: List<String>,
@@ -56,33 +56,33 @@
     val isEmpty: Boolean
         get() =
             serving == null &&
-                joined.isEmpty() &&
+                added.isEmpty() &&
                 changed.isEmpty() &&
-                gone.isEmpty() &&
+                removed.isEmpty() &&
                 declared.isEmpty() &&
                 evacuated == null &&
                 unusable.isEmpty()
 }
 
-/** [ageAtStart] is the age given to a version that was declared before this process started, in place of the unknown one. */
-class PublicationController(
+/** [ageAtStart] is the assumed age of a version that was declared before this process started, whose real age is unknown. */
+class StoreViewController(
     private val invariants: Invariants,
     private val ageAtStart: Duration = 5.seconds,
 ) {
-    /** A back end whose entry was taken away by [change] and may come back [until] then. */
-    private class Lapse(
+    /** A back end whose registration was removed by [change], but which is kept [until] then in case it registers again. */
+    private class PendingRemoval(
         val change: StoreItem,
         val until: Duration,
     )
 
-    private val items = mutableMapOf<String, ReadItem>()
-    private val lapsing = mutableMapOf<TargetId, Lapse>()
+    private val items = mutableMapOf<String, DecodedItem>()
+    private val pendingRemovals = mutableMapOf<TargetId, PendingRemoval>()
     private val backEndsById = mutableMapOf<TargetId, BackEnd>()
     private val declaredByModel = mutableMapOf<ModelId, List<DeclaredWeights>>()
     private var confirmedAt: Duration? = null
-    private var disturbedUntil = Duration.ZERO
+    private var graceUntil = Duration.ZERO
 
-    /** The store's revision up to which this process knows every change. */
+    /** The store revision up to which this process has seen every change. */
     var at = 0L
         private set
 
@@ -96,102 +96,102 @@
 
     fun backEnd(id: TargetId): BackEnd? = backEndsById[id]
 
-    /** The newest version that was declared for [model]. */
+    /** Returns the newest version that was declared for [model]. */
     fun declared(model: ModelId): DeclaredWeights? = declaredByModel[model]?.last()
 
-    /** The declaration of [number]; null for a version that was never declared or has long been replaced. */
+    /** Returns the declaration of [number]; null for a version that was never declared or is no longer kept. */
     fun declaration(
         model: ModelId,
         number: WeightNumber,
     ): DeclaredWeights? = declaredByModel[model]?.firstOrNull { it.number == number }
 
-    /** The newest version of each model. */
+    /** The newest declaration of each model. */
     val newest: List<DeclaredWeights> get() = declaredByModel.values.map { it.last() }
 
-    /** The newest version of [model] that was declared at [time] or before; each declaration binds from its own time on. */
-    fun declaredBy(
+    /** Returns the newest version of [model] declared at or before [time]; each declaration takes effect at its own time. */
+    fun declaredAsOf(
         model: ModelId,
         time: Duration,
     ): DeclaredWeights? = declaredByModel[model]?.lastOrNull { it.since <= time }
 
-    /** The oldest declaration of [model] that a back end with [held] doesn't meet. */
+    /** Returns the oldest declaration of [model] that a back end with version [held] does not meet. */
     fun oldestUnmet(
         model: ModelId,
         held: WeightNumber?,
     ): DeclaredWeights? = declaredByModel[model]?.firstOrNull { held == null || it.number > held }
 
-    /** Takes changes up to the revision [upTo] from the store. */
-    fun take(
-        changes: List<ReadItem>,
+    /** Applies changes from the store up to the revision [upTo]. */
+    fun applyChanges(
+        changes: List<DecodedItem>,
         upTo: Long,
         now: Duration,
-    ): PublicationChange = take(changes, upTo, now, removalsMayLapse = now < disturbedUntil)
+    ): StoreViewChange = applyChanges(changes, upTo, now, holdRemovals = now < graceUntil)
 
-    /** Takes changes that a peer has settled: an entry that it says is gone doesn't come back, however this process's store is. */
-    fun takeSettled(
-        changes: List<ReadItem>,
+    /** Applies changes that a peer has settled: its removals take effect at once, whatever the state of this process's store connection. */
+    fun applySettledChanges(
+        changes: List<DecodedItem>,
         upTo: Long,
         now: Duration,
-    ): PublicationChange = take(changes, upTo, now, removalsMayLapse = false)
+    ): StoreViewChange = applyChanges(changes, upTo, now, holdRemovals = false)
 
-    private fun take(
-        changes: List<ReadItem>,
+    private fun applyChanges(
+        changes: List<DecodedItem>,
         upTo: Long,
         now: Duration,
-        removalsMayLapse: Boolean,
-    ): PublicationChange {
+        holdRemovals: Boolean,
+    ): StoreViewChange {
         val first = confirmedAt == null
-        val applied = changes.filter { replace(it) }
+        val applied = changes.filter { storeIfNewer(it) }
         at = maxOf(at, upTo)
         confirmedAt = now
-        return publish(applied, now, first, removalsMayLapse)
+        return publish(applied, now, first, holdRemovals)
     }
 
-    /** Takes all items that the store held at the revision [upTo]; an answer older than what is known is passed over. */
-    fun takeWhole(
-        all: List<ReadItem>,
+    /** Applies a full read of the store at the revision [upTo]; a read older than the current view is ignored. */
+    fun applySnapshot(
+        all: List<DecodedItem>,
         upTo: Long,
         now: Duration,
-    ): PublicationChange {
-        if (upTo < at) return take(emptyList(), at, now)
+    ): StoreViewChange {
+        if (upTo < at) return applyChanges(emptyList(), at, now)
         val present = all.mapTo(mutableSetOf()) { it.item.key }
         val removed =
             items.values
                 .filter { it.item.value != null && it.item.key !in present && it.item.revision <= upTo }
-                .map { ReadItem(StoreItem(it.item.key, upTo, null), null) }
-        return take(all + removed, upTo, now)
+                .map { DecodedItem(StoreItem(it.item.key, upTo, null), null) }
+        return applyChanges(all + removed, upTo, now)
     }
 
-    /** The revision up to which nothing is in doubt: an entry that may have lapsed with the store is told to peers once it is gone. */
-    val settledAt: Long get() = lapsing.values.minOfOrNull { it.change.revision - 1 } ?: at
+    /** The revision up to which no removal is pending: peers learn of a pending removal only after it has taken effect. */
+    val settledRevision: Long get() = pendingRemovals.values.minOfOrNull { it.change.revision - 1 } ?: at
 
-    /** What changed after the revision [after] and isn't in doubt, for a peer. */
+    /** Returns the items that changed after the revision [after], without pending removals, for a peer. */
     fun changesSince(after: Long): List<StoreItem> {
-        val inDoubt = lapsing.values.mapTo(mutableSetOf()) { it.change }
-        return items.values.map { it.item }.filter { it.revision > after && it !in inDoubt }
+        val pending = pendingRemovals.values.mapTo(mutableSetOf()) { it.change }
+        return items.values.map { it.item }.filter { it.revision > after && it !in pending }
     }
 
-    /** The store was away until [now]: entries that lapsed meanwhile may come back. */
-    fun disturbed(now: Duration) {
-        disturbedUntil = now + LAPSE_GRACE
+    /** Records that the store was unavailable until [now]: registrations that expired meanwhile may come back. */
+    fun onStoreUnavailable(now: Duration) {
+        graceUntil = now + REMOVAL_GRACE
     }
 
-    /** Ends the grace of back ends that did not come back. */
+    /** Removes the back ends whose grace period ended without a new registration, and returns them. */
     fun expire(now: Duration): List<TargetId> {
-        val over = lapsing.filterValues { it.until <= now }.keys.toList()
-        for (id in over) {
-            lapsing -= id
+        val expired = pendingRemovals.filterValues { it.until <= now }.keys.toList()
+        for (id in expired) {
+            pendingRemovals -= id
             backEndsById -= id
         }
-        return over
+        return expired
     }
 
-    /** Beliefs may be old: the process was paused. */
-    fun doubt() {
+    /** Marks the view as possibly stale after a pause of the process, until the store or a peer confirms it. */
+    fun requireConfirmation() {
         confirmedAt = null
     }
 
-    /** Whether the store or a peer has confirmed what is in force since the start and since the last pause. */
+    /** Whether the store or a peer has confirmed the active configuration since the start and since the last pause. */
     val confirmed: Boolean get() = confirmedAt != null && serving != null
 
     fun dump(): DumpSection =
@@ -204,7 +204,7 @@
             entry("back-ends", backEndsById.values.map { "${it.id.text} leaving=${it.leaving} weights=${it.weights?.number?.number}" })
         }
 
-    private fun replace(change: ReadItem): Boolean {
+    private fun storeIfNewer(change: DecodedItem): Boolean {
         val known = items[change.item.key]
         if (known != null && known.item.revision >= change.item.revision) return false
         items[change.item.key] = change
@@ -212,60 +212,60 @@
     }
 
     private fun publish(
-        applied: List<ReadItem>,
+        applied: List<DecodedItem>,
         now: Duration,
         first: Boolean,
-        removalsMayLapse: Boolean,
-    ): PublicationChange {
-        val joined = mutableListOf<BackEnd>()
+        holdRemovals: Boolean,
+    ): StoreViewChange {
+        val added = mutableListOf<BackEnd>()
         val changed = mutableListOf<BackEnd>()
         val declared = mutableListOf<DeclaredWeights>()
         val unusable = mutableListOf<String>()
         var next: ServingSet? = null
         for (change in applied) {
             when (val published = change.published) {
-                is Published.Serving -> next = newer(published.set, next)
-                is Published.Registered -> if (register(published.backEnd)) joined += published.backEnd else changed += published.backEnd
+                is Published.Serving -> next = newerOf(published.set, next)
+                is Published.Registered -> if (register(published.backEnd)) added += published.backEnd else changed += published.backEnd
                 is Published.Declared -> declare(published, now, first)?.let { declared += it }
                 is Published.Unusable -> unusable += "${change.item.key}: ${published.detail}"
                 is Published.Evacuated, null -> Unit
             }
         }
         next?.let { serving = it }
-        // An entry may be removed and come back within one answer; what counts is its newest change.
-        val gone = applied.filter { items[it.item.key] === it }.mapNotNull { removal(it, removalsMayLapse) }
-        return PublicationChange(next, joined, changed, gone, declared, changedEvacuation(), unusable)
+        // A registration may be removed and renewed within one response; only its newest change counts.
+        val removed = applied.filter { items[it.item.key] === it }.mapNotNull { removal(it, holdRemovals) }
+        return StoreViewChange(next, added, changed, removed, declared, changedEvacuation(), unusable)
     }
 
-    private fun newer(
+    private fun newerOf(
         offered: ServingSet,
         before: ServingSet?,
     ): ServingSet? {
         val current = before ?: serving
-        val rises = current == null || offered.revision > current.revision
-        invariants.check(rises, Invariant.CONFIGURATION_NEVER_REVERTS, Step.ACCEPT_CONFIGURATION) {
+        val isNewer = current == null || offered.revision > current.revision
+        invariants.check(isNewer, Invariant.CONFIGURATION_NEVER_REVERTS, Step.ACCEPT_CONFIGURATION) {
             "offered=${offered.revision.number} current=${current?.revision?.number}"
         }
-        return if (rises) offered else before
+        return if (isNewer) offered else before
     }
 
     private fun register(backEnd: BackEnd): Boolean {
-        lapsing -= backEnd.id
+        pendingRemovals -= backEnd.id
         return backEndsById.put(backEnd.id, backEnd) == null
     }
 
-    /** Returns the back end that [change] takes away at once; one that may come back stays until its grace ends. */
+    /** Returns the back end that [change] removes immediately; one that may come back is kept until its grace period ends. */
     private fun removal(
-        change: ReadItem,
-        mayLapse: Boolean,
+        change: DecodedItem,
+        hold: Boolean,
     ): TargetId? {
         if (change.published is Published.Registered) return null
         val id = backEndsById.keys.firstOrNull { change.item.key.endsWith("/${it.text}") } ?: return null
-        if (mayLapse && change.item.value == null) {
-            lapsing[id] = Lapse(change.item, disturbedUntil)
+        if (hold && change.item.value == null) {
+            pendingRemovals[id] = PendingRemoval(change.item, graceUntil)
             return null
         }
-        lapsing -= id
+        pendingRemovals -= id
         backEndsById -= id
         return id
     }
@@ -279,7 +279,7 @@
         if (known.isNotEmpty() && known.last().number >= offered.number) return null
         val since = if (first) now - ageAtStart else now
         val declared = DeclaredWeights(offered.model, offered.number, since)
-        declaredByModel[offered.model] = (known + declared).takeLast(DECLARATIONS_KEPT)
+        declaredByModel[offered.model] = (known + declared).takeLast(MAX_DECLARATIONS)
         return declared
     }
 
@@ -291,10 +291,10 @@
     }
 
     private companion object {
-        /** A live back end's entry is back two seconds after the store; half a second more covers its way here. */
-        val LAPSE_GRACE = 2_500.milliseconds
+        /** A live back end registers within two seconds after the store recovers; half a second more covers propagation to here. */
+        val REMOVAL_GRACE = 2_500.milliseconds
 
-        /** Older declarations bind nobody any more. */
-        const val DECLARATIONS_KEPT = 16
+        /** Older declarations no longer apply to any back end. */
+        const val MAX_DECLARATIONS = 16
     }
 }
--- a/control/src/test/kotlin/lagoonrudder/control/direct/DirectFixtures.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/direct/DirectFixtures.kt
@@ -83,7 +83,7 @@
     key: String,
     revision: Long,
     published: Published?,
-) = ReadItem(StoreItem(key, revision, if (published == null) null else ByteArray(0)), published)
+) = DecodedItem(StoreItem(key, revision, if (published == null) null else ByteArray(0)), published)
 
 internal fun registered(
     backEnd: BackEnd,
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/backend/HttpBackEnd.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/backend/HttpBackEnd.kt
@@ -53,15 +53,15 @@
 import lagoonrudder.model.Step
 import lagoonrudder.model.VersionId
 import lagoonrudder.traffic.Work
-import lagoonrudder.traffic.target.BackEnd
 import lagoonrudder.traffic.target.EngineEvent
 import lagoonrudder.traffic.target.GenerateRequest
+import lagoonrudder.traffic.target.LocalBackEnd
 import kotlin.time.Duration
 
 class HttpBackEnd(
     private val client: HttpClient,
     private val address: Address,
-) : BackEnd {
+) : LocalBackEnd {
     private val peer = Peer(PeerRole.ENGINE, address.toString())
     private val root = "http://$address"
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectSettings.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectSettings.kt
@@ -7,7 +7,7 @@
 import arrow.core.raise.Raise
 import arrow.core.raise.either
 import lagoonrudder.control.direct.PlacementBounds
-import lagoonrudder.control.direct.RepeatBounds
+import lagoonrudder.control.direct.RetryBudgetBounds
 import lagoonrudder.model.Address
 import lagoonrudder.model.DaemonId
 import lagoonrudder.model.DaemonRole
@@ -40,7 +40,7 @@
 /** [stopGrace] is the time from the stop signal to the end of the process. */
 data class DirectBounds(
     val placement: PlacementBounds,
-    val repeats: RepeatBounds,
+    val repeats: RetryBudgetBounds,
     val stopGrace: Duration,
 )
 
@@ -102,7 +102,7 @@
     with(section) {
         DirectBounds(
             placement = PlacementBounds(duration("version"), double("cold-ratio"), double("cold-allowance")),
-            repeats = RepeatBounds(double("repeat-ratio"), duration("repeat-window"), double("repeat-allowance")),
+            repeats = RetryBudgetBounds(double("repeat-ratio"), duration("repeat-window"), double("repeat-allowance")),
             stopGrace = duration("stop-grace"),
         )
     }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectTarget.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectTarget.kt
@@ -27,7 +27,7 @@
     }
 
     /** Entry daemons that start beside this one know nothing yet, so the first reading is the store's. */
-    private suspend fun isConfirmed() = core.thread.decide { core.publication.confirmed }
+    private suspend fun isConfirmed() = core.thread.decide { core.storeView.confirmed }
 
     override fun dump() = core.dump()
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerEndpoint.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerEndpoint.kt
@@ -58,9 +58,9 @@
 
     private fun answer(message: WordMessage): WordReply {
         val now = core.clock.elapsed()
-        core.peers.heard(message.self.toPeer(), message.loads.toLoads(), now)
+        core.peers.onGossipReceived(message.self.toPeer(), message.loads.toLoads(), now)
         val word = message.slot?.toWord()
-        if (word != null && core.slots.heard(word, now)) {
+        if (word != null && core.slots.onGossipReceived(word, now)) {
             core.log.info(
                 "slot-heard",
                 "back-end" to word.backEnd,
@@ -72,10 +72,10 @@
         }
         return WordReply(
             self = core.self.toMessage(),
-            at = core.publication.settledAt,
+            at = core.storeView.settledRevision,
             loads = loads().toMessages(),
-            sightings = if (message.wantsPeers) core.peers.sightings(now).map { it.toMessage() } else emptyList(),
-            items = if (message.wantsItems) core.publication.changesSince(message.at).map { it.toMessage() } else emptyList(),
+            livePeers = if (message.wantsPeers) core.peers.livePeers(now).map { it.toMessage() } else emptyList(),
+            items = if (message.wantsItems) core.storeView.changesSince(message.at).map { it.toMessage() } else emptyList(),
         )
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerLoop.kt
@@ -62,10 +62,10 @@
 
     private suspend fun exchangeWithAll() {
         while (currentCoroutineContext().isActive) {
-            val partners = core.thread.decide { core.peers.partners(core.clock.elapsed()) }
-            val over = exchanges.keys - partners.toSet()
+            val gossipAddresses = core.thread.decide { core.peers.gossipAddresses(core.clock.elapsed()) }
+            val over = exchanges.keys - gossipAddresses.toSet()
             over.forEach { exchanges.remove(it)?.cancel() }
-            for (partner in partners) exchanges.getOrPut(partner) { core.scope.launch { exchangeRepeatedly(partner) } }
+            for (partner in gossipAddresses) exchanges.getOrPut(partner) { core.scope.launch { exchangeRepeatedly(partner) } }
             nearPartners = core.thread.decide { nearAddresses() }
             delay(PARTNERS_PAUSE)
         }
@@ -75,10 +75,10 @@
         var failures = 0
         var round = 0
         while (currentCoroutineContext().isActive) {
-            val heard = exchange(address, wantsPeers = round++ % PEERS_EVERY == 0)
-            failures = if (heard) 0 else failures + 1
+            val onGossipReceived = exchange(address, wantsPeers = round++ % PEERS_EVERY == 0)
+            failures = if (onGossipReceived) 0 else failures + 1
             val pause = if (address in nearPartners) EXCHANGE_PAUSE else FAR_EXCHANGE_PAUSE
-            delay(if (heard) pause else (FAILED_PAUSE * failures).coerceAtMost(LONGEST_PAUSE))
+            delay(if (onGossipReceived) pause else (FAILED_PAUSE * failures).coerceAtMost(LONGEST_PAUSE))
         }
     }
 
@@ -94,9 +94,9 @@
         var failures = 0
         while (currentCoroutineContext().isActive) {
             val candidates = core.thread.decide { candidates() }
-            val heard = candidates.isNotEmpty() && exchange(candidates[failures % candidates.size], wantsPeers = true)
-            if (!heard) failures++
-            delay(if (heard) TARGET_PAUSE else FAILED_PAUSE)
+            val onGossipReceived = candidates.isNotEmpty() && exchange(candidates[failures % candidates.size], wantsPeers = true)
+            if (!onGossipReceived) failures++
+            delay(if (onGossipReceived) TARGET_PAUSE else FAILED_PAUSE)
         }
     }
 
@@ -123,8 +123,8 @@
 
     private fun word(wantsPeers: Boolean): WordMessage {
         val lags = behindSince?.let { core.clock.elapsed() - it > LAG_ALLOWED } ?: false
-        val wantsItems = lags || !core.publication.confirmed || core.self.role == DaemonRole.TARGET
-        return WordMessage(core.self.toMessage(), core.publication.at, wantsItems, loads().toMessages(), slot?.toMessage(), wantsPeers)
+        val wantsItems = lags || !core.storeView.confirmed || core.self.role == DaemonRole.TARGET
+        return WordMessage(core.self.toMessage(), core.storeView.at, wantsItems, loads().toMessages(), slot?.toMessage(), wantsPeers)
     }
 
     private suspend fun take(
@@ -135,18 +135,18 @@
         val change =
             core.thread.decide {
                 val now = core.clock.elapsed()
-                core.peers.heard(reply.self.toPeer(), reply.loads.toLoads(), now)
-                core.peers.sighted(reply.sightings.map { it.toSighting() }, now)
-                val behind = reply.at > core.publication.at
+                core.peers.onGossipReceived(reply.self.toPeer(), reply.loads.toLoads(), now)
+                core.peers.mergeLivePeers(reply.livePeers.map { it.toSighting() }, now)
+                val behind = reply.at > core.storeView.at
                 if (!behind) {
                     behindSince = null
                 } else if (behindSince == null) {
                     behindSince = now
                 }
-                val brings = items.isNotEmpty() || (!core.publication.confirmed && core.publication.serving != null && !behind)
+                val brings = items.isNotEmpty() || (!core.storeView.confirmed && core.storeView.serving != null && !behind)
                 if (!brings) return@decide null
                 behindSince = null
-                core.publication.takeSettled(items, reply.at, now).also { changed() }
+                core.storeView.applySettledChanges(items, reply.at, now).also { changed() }
             }
         if (change != null) core.logChange(change, "peer:$address", reply.at)
     }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StoreLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StoreLoop.kt
@@ -12,7 +12,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.ensureActive
 import kotlinx.coroutines.isActive
-import lagoonrudder.control.direct.PublicationChange
+import lagoonrudder.control.direct.StoreViewChange
 import lagoonrudder.model.Failure
 import lagoonrudder.platform.StoreClient
 import lagoonrudder.platform.StoreWatch
@@ -75,16 +75,16 @@
         store.readAll().map { answer ->
             val items = answer.items.map { readItem(it) }
             readAll = false
-            take { core.publication.takeWhole(items, answer.at, core.clock.elapsed()) }
+            applyChanges { core.storeView.applySnapshot(items, answer.at, core.clock.elapsed()) }
         }
 
     private suspend fun watch(wait: Duration): Either<Failure, Unit> {
-        val after = core.thread.decide { core.publication.at }
+        val after = core.thread.decide { core.storeView.at }
         return store.watch(after, wait).map { watched ->
             when (watched) {
                 is StoreWatch.Changes -> {
                     val items = watched.answer.items.map { readItem(it) }
-                    take { core.publication.take(items, watched.answer.at, core.clock.elapsed()) }
+                    applyChanges { core.storeView.applyChanges(items, watched.answer.at, core.clock.elapsed()) }
                 }
                 StoreWatch.HistoryLost -> {
                     core.log.warning("store-history-lost", "after" to after)
@@ -94,8 +94,8 @@
         }
     }
 
-    private suspend fun take(action: () -> PublicationChange) {
-        val (change, at) = core.thread.decide { action().also { changed() } to core.publication.at }
+    private suspend fun applyChanges(action: () -> StoreViewChange) {
+        val (change, at) = core.thread.decide { action().also { changed() } to core.storeView.at }
         core.logChange(change, "store", at)
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/entry/EntryDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/entry/EntryDaemon.kt
@@ -25,8 +25,8 @@
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.RequestId
 import lagoonrudder.traffic.FilterChain
-import lagoonrudder.traffic.entry.AccountFilter
-import lagoonrudder.traffic.entry.AdmitFilter
+import lagoonrudder.traffic.entry.AccountingFilter
+import lagoonrudder.traffic.entry.AdmissionFilter
 import lagoonrudder.traffic.entry.EntryCall
 import lagoonrudder.traffic.entry.EntryControl
 import lagoonrudder.traffic.entry.IdentifyFilter
@@ -129,9 +129,9 @@
 
     private fun filters() =
         entryFilters(
-            account = AccountFilter(control, core.clock, ::ended),
+            account = AccountingFilter(control, core.clock, ::ended),
             identify = IdentifyFilter(control, core.clock, CompletionDecoder) { RequestId(UUID.randomUUID().toString()) },
-            admit = AdmitFilter(control),
+            admit = AdmissionFilter(control),
             relay = RelayFilter(control, core.clock, core.invariants),
             send = SendFilter(control, core.rpc, core.clock, core.options.send),
         )
@@ -142,7 +142,7 @@
         took: Duration,
     ) {
         core.metrics.requestEnded(outcome, took)
-        val request = call.identityOrNull()
+        val request = call.contextOrNull()
         core.log.info(
             "request-ended",
             "request" to request?.request?.text,
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/front/HttpAnswerSink.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/front/HttpAnswerSink.kt
@@ -9,8 +9,8 @@
 import kotlinx.coroutines.CompletableDeferred
 import lagoonrudder.model.Failure
 import lagoonrudder.model.VersionId
-import lagoonrudder.traffic.entry.AnswerSink
-import lagoonrudder.traffic.entry.CallerGone
+import lagoonrudder.traffic.entry.CallerDisconnected
+import lagoonrudder.traffic.entry.ResponseSink
 import java.io.IOException
 import java.nio.ByteBuffer
 import java.nio.CharBuffer
@@ -28,7 +28,7 @@
     failure: Failure,
 ) : IOException(failure.describe())
 
-class HttpAnswerSink : AnswerSink {
+class HttpAnswerSink : ResponseSink {
     /** Completed when the answer begins. */
     val started = CompletableDeferred<AnswerStart>()
     private val channel = CompletableDeferred<ByteWriteChannel>()
@@ -78,7 +78,7 @@
         } catch (cancelled: CancellationException) {
             throw cancelled
         } catch (broken: IOException) {
-            throw CallerGone(broken)
+            throw CallerDisconnected(broken)
         }
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/SwitchLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/SwitchLoop.kt
@@ -16,7 +16,7 @@
 import lagoonrudder.daemon.DaemonCore
 import lagoonrudder.model.IncarnationId
 import lagoonrudder.model.TargetId
-import lagoonrudder.traffic.target.BackEnd
+import lagoonrudder.traffic.target.LocalBackEnd
 import lagoonrudder.traffic.target.TargetControl
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -25,7 +25,7 @@
 class SwitchLoop(
     private val core: DaemonCore,
     private val control: TargetControl,
-    private val backEnd: BackEnd,
+    private val backEnd: LocalBackEnd,
     private val weights: WeightLoop,
 ) {
     private val wake = Channel<Unit>(Channel.CONFLATED)
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
@@ -24,7 +24,7 @@
 import lagoonrudder.model.Address
 import lagoonrudder.model.RegionId
 import lagoonrudder.traffic.FilterChain
-import lagoonrudder.traffic.target.Reservations
+import lagoonrudder.traffic.target.KeyReservations
 import lagoonrudder.traffic.target.TargetControl
 import lagoonrudder.traffic.target.targetFilters
 import lagoonrudder.wire.rpc.RpcServer
@@ -63,7 +63,7 @@
     private var rpcServer: RpcServer? = null
 
     override suspend fun start(): DaemonAddresses {
-        val end = TargetEnd(control, chain, Reservations(control, core.rpc, core.clock), core.clock)
+        val end = TargetEnd(control, chain, KeyReservations(control, core.rpc, core.clock), core.clock)
         val rpc = RpcServer.start(settings.listen.rpc, core.scope.coroutineContext, PeerEnd(configuration, weights), end)
         rpcServer = rpc
         val addresses = DaemonAddresses(Address(settings.listen.rpc.host, rpc.port), null, operators.start())
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetEnd.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetEnd.kt
@@ -23,7 +23,7 @@
 import lagoonrudder.traffic.RunEvent
 import lagoonrudder.traffic.RunRequest
 import lagoonrudder.traffic.SurrenderRequest
-import lagoonrudder.traffic.target.Reservations
+import lagoonrudder.traffic.target.KeyReservations
 import lagoonrudder.traffic.target.TargetCall
 import lagoonrudder.traffic.target.TargetControl
 import lagoonrudder.wire.rpc.TargetService
@@ -34,7 +34,7 @@
 class TargetEnd(
     private val control: TargetControl,
     private val chain: FilterChain<TargetCall>,
-    private val reservations: Reservations,
+    private val reservations: KeyReservations,
     private val clock: Clock,
 ) : TargetService {
     override fun run(request: RunRequest): Flow<RunEvent> =
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/WeightLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/WeightLoop.kt
@@ -29,7 +29,7 @@
 import lagoonrudder.model.Step
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.digestOf
-import lagoonrudder.traffic.target.BackEnd
+import lagoonrudder.traffic.target.LocalBackEnd
 import lagoonrudder.traffic.target.TargetControl
 import lagoonrudder.wire.messages.ChunkMessage
 import lagoonrudder.wire.messages.ChunkReply
@@ -41,7 +41,7 @@
 class WeightLoop(
     private val core: DaemonCore,
     private val control: TargetControl,
-    private val backEnd: BackEnd,
+    private val backEnd: LocalBackEnd,
     private val origin: WeightOrigin,
     private val progressed: () -> Unit,
 ) : ChunkService {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/DirectSite.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/DirectSite.kt
@@ -12,7 +12,7 @@
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
 import lagoonrudder.control.direct.PlacementBounds
-import lagoonrudder.control.direct.RepeatBounds
+import lagoonrudder.control.direct.RetryBudgetBounds
 import lagoonrudder.daemon.direct.DirectBounds
 import lagoonrudder.daemon.direct.DirectCore
 import lagoonrudder.daemon.direct.DirectListen
@@ -178,7 +178,7 @@
         seeds = entryListens.take(1).map { it.peers },
         store = storeAddress,
         slot = slot,
-        bounds = DirectBounds(PlacementBounds(8.seconds, 1.5, 5.0), RepeatBounds(0.2, 10.seconds, 100.0), 2.seconds),
+        bounds = DirectBounds(PlacementBounds(8.seconds, 1.5, 5.0), RetryBudgetBounds(0.2, 10.seconds, 100.0), 2.seconds),
     )
 
     private companion object {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualBackEnd.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualBackEnd.kt
@@ -30,9 +30,9 @@
 import lagoonrudder.standins.TOKEN_CHARACTERS
 import lagoonrudder.standins.textOf
 import lagoonrudder.traffic.Work
-import lagoonrudder.traffic.target.BackEnd
 import lagoonrudder.traffic.target.EngineEvent
 import lagoonrudder.traffic.target.GenerateRequest
+import lagoonrudder.traffic.target.LocalBackEnd
 import java.util.zip.CRC32C
 import kotlin.math.roundToLong
 import kotlin.time.Duration
@@ -42,7 +42,7 @@
     private val traits: EngineTraits,
     private val clock: Clock,
     private var version: VersionId?,
-) : BackEnd {
+) : LocalBackEnd {
     private val load = EngineLoad(traits)
     private var startedAt = -traits.warmUp
     private var downUntil = -Duration.INFINITE
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualCaller.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualCaller.kt
@@ -12,15 +12,15 @@
 import lagoonrudder.standins.CallEnd
 import lagoonrudder.standins.TextCall
 import lagoonrudder.standins.wholeAnswer
-import lagoonrudder.traffic.entry.AnswerSink
 import lagoonrudder.traffic.entry.CallerRequest
+import lagoonrudder.traffic.entry.ResponseSink
 import kotlin.time.Duration
 
 /** Collects an answer; each write takes [pause], as a slow reader would. */
 class VirtualSink(
     private val clock: VirtualClock,
     private val pause: Duration,
-) : AnswerSink {
+) : ResponseSink {
     private val bytes = StringBuilder()
     val times = mutableListOf<Duration>()
     var version: VersionId? = null
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualLink.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualLink.kt
@@ -32,7 +32,7 @@
 import lagoonrudder.traffic.RunEvent
 import lagoonrudder.traffic.RunRequest
 import lagoonrudder.traffic.SurrenderRequest
-import lagoonrudder.traffic.TargetLink
+import lagoonrudder.traffic.TargetClient
 import lagoonrudder.traffic.target.TargetCall
 import kotlin.random.Random
 import kotlin.time.Duration
@@ -80,7 +80,7 @@
     private val targets: (TargetId) -> VirtualTarget?,
     private val latency: Duration,
     private val faults: FaultSource,
-) : TargetLink {
+) : TargetClient {
     override suspend fun reserve(
         target: Instance,
         request: ReserveRequest,
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
@@ -62,20 +62,20 @@
 import lagoonrudder.standins.EngineTraits
 import lagoonrudder.standins.LOOPBACK
 import lagoonrudder.traffic.FilterChain
-import lagoonrudder.traffic.TargetLink
-import lagoonrudder.traffic.entry.AccountFilter
-import lagoonrudder.traffic.entry.AdmitFilter
-import lagoonrudder.traffic.entry.AnswerSink
+import lagoonrudder.traffic.TargetClient
+import lagoonrudder.traffic.entry.AccountingFilter
+import lagoonrudder.traffic.entry.AdmissionFilter
 import lagoonrudder.traffic.entry.CallerRequest
 import lagoonrudder.traffic.entry.EntryCall
 import lagoonrudder.traffic.entry.EntryControl
 import lagoonrudder.traffic.entry.IdentifyFilter
 import lagoonrudder.traffic.entry.RelayFilter
+import lagoonrudder.traffic.entry.ResponseSink
 import lagoonrudder.traffic.entry.SendFilter
 import lagoonrudder.traffic.entry.SendLimits
 import lagoonrudder.traffic.entry.entryFilters
 import lagoonrudder.traffic.target.EngineLimits
-import lagoonrudder.traffic.target.Reservations
+import lagoonrudder.traffic.target.KeyReservations
 import lagoonrudder.traffic.target.TargetCall
 import lagoonrudder.traffic.target.TargetControl
 import lagoonrudder.traffic.target.targetFilters
@@ -114,7 +114,7 @@
     var faults: FaultSource = FaultSource { LinkFault.None }
 
     /** Wraps the connections, for deliberate defects in tests. */
-    var link: (TargetLink) -> TargetLink = { it }
+    var link: (TargetClient) -> TargetClient = { it }
 }
 
 class VirtualEntry(
@@ -129,7 +129,7 @@
 
     suspend fun call(
         request: CallerRequest,
-        sink: AnswerSink,
+        sink: ResponseSink,
     ): Outcome = chain.run(EntryCall(request, sink, clock.elapsed()))
 }
 
@@ -139,7 +139,7 @@
     val control: TargetControl,
     val chain: FilterChain<TargetCall>,
     val backEnd: VirtualBackEnd,
-    val reservations: Reservations,
+    val reservations: KeyReservations,
     private val clock: Clock,
 ) {
     var reachable = true
@@ -217,7 +217,7 @@
         control.switch.read(backEnd.engineState())
         val chain = FilterChain(targetFilters(control, backEnd, clock, invariants, EngineLimits()))
         targets[target.id] =
-            VirtualTarget(target.id, target.domain, control, chain, backEnd, Reservations(control, link, clock), clock)
+            VirtualTarget(target.id, target.domain, control, chain, backEnd, KeyReservations(control, link, clock), clock)
     }
 
     private fun targetControl(
@@ -263,9 +263,9 @@
             )
         val filters =
             entryFilters(
-                account = AccountFilter(control, clock) { _, _, _ -> },
+                account = AccountingFilter(control, clock) { _, _, _ -> },
                 identify = IdentifyFilter(control, clock, CompletionDecoder) { RequestId("request-${requests++}") },
-                admit = AdmitFilter(control),
+                admit = AdmissionFilter(control),
                 relay = RelayFilter(control, clock, invariants),
                 send = SendFilter(control, link, clock, SendLimits()),
             )
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/RandomRunsTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/RandomRunsTest.kt
@@ -17,7 +17,7 @@
 import lagoonrudder.traffic.ReserveRequest
 import lagoonrudder.traffic.RunEvent
 import lagoonrudder.traffic.RunRequest
-import lagoonrudder.traffic.TargetLink
+import lagoonrudder.traffic.TargetClient
 import lagoonrudder.traffic.checksumOf
 import kotlin.time.Duration
 
@@ -26,12 +26,12 @@
 
 /** Forwards to [link]; the base of deliberate defects. */
 private open class ForwardingLink(
-    private val link: TargetLink,
-) : TargetLink by link
+    private val link: TargetClient,
+) : TargetClient by link
 
 /** A defect: the checksum of each piece is made to fit whatever arrived, and the end mark is believed. */
 private class TrustingLink(
-    private val link: TargetLink,
+    private val link: TargetClient,
 ) : ForwardingLink(link) {
     override fun run(
         target: Instance,
@@ -48,7 +48,7 @@
 
 /** A defect: a failed exchange under a permit is reported as one that never reached the target. */
 private class ForgetfulLink(
-    private val link: TargetLink,
+    private val link: TargetClient,
 ) : ForwardingLink(link) {
     override fun run(
         target: Instance,
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/Messages.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/Messages.kt
@@ -110,7 +110,7 @@
 )
 
 /** A connection to target daemons. Failures say whether anything may have left this process. */
-interface TargetLink {
+interface TargetClient {
     suspend fun reserve(
         target: Instance,
         request: ReserveRequest,
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectFilters.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectFilters.kt
@@ -20,14 +20,14 @@
 
 fun directFilters(
     control: DirectControl,
-    link: BackEndLink,
+    link: BackEndClient,
     random: Random,
     ended: (DirectCall, Outcome?) -> Unit,
 ): List<Filter<DirectCall>> =
-    listOf(DirectAccountFilter(ended), DirectIdentifyFilter(control, random), DirectSendFilter(control, link, DirectLimits()))
+    listOf(DirectAccountingFilter(ended), DirectIdentifyFilter(control, random), DirectSendFilter(control, link, DirectLimits()))
 
 /** Tells [ended] how each request went; a null outcome means that the caller left. */
-class DirectAccountFilter(
+class DirectAccountingFilter(
     private val ended: (DirectCall, Outcome?) -> Unit,
 ) : Filter<DirectCall> {
     override suspend fun handle(
@@ -55,7 +55,7 @@
         val confirmation = control.thread.decide { control.confirmation() }
         withTimeoutOrNull(CONFIRM_LIMIT) { confirmation.await() }
         val serving =
-            control.thread.decide { control.publication.serving } ?: return refused(Refusal.NotServing(RETRY_AFTER, "no configuration"))
+            control.thread.decide { control.storeView.serving } ?: return refused(Refusal.NotServing(RETRY_AFTER, "no configuration"))
         val refusal = identify(call, serving)
         return if (refusal != null) refused(refusal) else next.proceed(call)
     }
@@ -71,12 +71,12 @@
         val service = pick(route) ?: return Refusal.NoTarget(RETRY_AFTER)
         val limit = request.timeLeft?.let { minOf(route.timeout, it) } ?: route.timeout
         call.identify(
-            DirectIdentity(
+            DirectRequestContext(
                 revision = serving.revision,
                 route = route,
                 customer = customer.takeUnless { route.open },
                 service = service,
-                endsAt = call.receivedAt + limit,
+                deadline = call.receivedAt + limit,
                 priority = customer?.priority ?: route.priority,
                 homes = listOf(route.homes, homesOf(customer)),
                 isLate = isLate(request, route),
@@ -87,7 +87,7 @@
 
     /** A caller that goes on with a stream it has begun isn't late: the stream is. */
     private fun isLate(
-        request: CallerRequest,
+        request: DirectRequest,
         route: ServingRoute,
     ): Boolean = request.resumeAfter == null && request.timeLeft?.let { it < route.timeout - route.objective } ?: false
 
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AdmitFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AdmissionFilter.kt
@@ -25,18 +25,18 @@
 import lagoonrudder.traffic.Work
 import kotlin.time.Duration.Companion.seconds
 
-class AdmitFilter(
+class AdmissionFilter(
     private val control: EntryControl,
 ) : Filter<EntryCall> {
     override suspend fun handle(
         call: EntryCall,
         next: Next<EntryCall>,
     ): Outcome {
-        val identity = call.identity
-        val key = identity.key.takeUnless { identity.route.idempotent }
-        val owner = key?.let { ownerFor(identity, it) }
+        val context = call.context
+        val key = context.key.takeUnless { context.route.idempotent }
+        val owner = key?.let { ownerFor(context, it) }
         if (key != null && owner == null) return Outcome.Refused(Refusal.NoTarget(RETRY), Step.CHOOSE_TARGET, Peer.SELF)
-        call.ticket = ticketFor(identity, owner)
+        call.ticket = ticketFor(context, owner)
         return when (val turn = awaitTurn(control, call.ticket) { enter(it) }) {
             is Dispatched.Refused -> Outcome.Refused(turn.refusal, Step.ADMIT, Peer.SELF)
             is Dispatched.Go -> {
@@ -47,35 +47,35 @@
     }
 
     private suspend fun ownerFor(
-        identity: Identity,
+        context: RequestContext,
         key: RepeatKey,
     ): TargetId? {
         val set = control.thread.decide { control.configuration.current }
-        return ownerOf(key, keyOwners(set.objects, identity.fleet))
+        return ownerOf(key, keyOwners(set.objects, context.fleet))
     }
 
     private fun ticketFor(
-        identity: Identity,
+        context: RequestContext,
         owner: TargetId?,
     ): Ticket {
         val waiting =
             Waiting(
-                id = identity.request,
-                line = QueueLine(identity.fleet.id, owner),
-                customer = identity.customer.id,
-                weight = identity.customer.weight,
-                priority = identity.route.priority,
-                cost = identity.tokens,
-                bytes = identity.bytes,
-                deadline = identity.deadline,
+                id = context.request,
+                line = QueueLine(context.fleet.id, owner),
+                customer = context.customer.id,
+                weight = context.customer.weight,
+                priority = context.route.priority,
+                cost = context.tokens,
+                bytes = context.bytes,
+                deadline = context.deadline,
             )
         val need =
             Need(
-                fleet = identity.fleet.id,
+                fleet = context.fleet.id,
                 owner = owner,
-                tokens = identity.tokens,
-                bytes = identity.bytes,
-                prefix = (identity.work as? Work.Generate)?.let { prefixOf(it.prompt) },
+                tokens = context.tokens,
+                bytes = context.bytes,
+                prefix = (context.work as? Work.Generate)?.let { prefixOf(it.prompt) },
                 excluded = emptySet(),
             )
         return Ticket(waiting, need)
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryCall.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryCall.kt
@@ -26,7 +26,7 @@
 )
 
 /** The way back to the caller. Every function suspends until the caller has taken what was given. */
-interface AnswerSink {
+interface ResponseSink {
     /** Starts an answer; called once, before any bytes. */
     suspend fun start(
         status: Int,
@@ -47,7 +47,7 @@
 }
 
 /** What the system knows of a request once it is identified. */
-data class Identity(
+data class RequestContext(
     val request: RequestId,
     val route: OperatorObject.Route,
     val fleet: OperatorObject.Fleet,
@@ -68,15 +68,15 @@
 
 class EntryCall(
     val caller: CallerRequest,
-    val sink: AnswerSink,
-    val arrived: Duration,
+    val sink: ResponseSink,
+    val receivedAt: Duration,
 ) {
-    lateinit var identity: Identity
+    lateinit var context: RequestContext
 
     /** The identity, or null while the request is not identified. */
-    fun identityOrNull(): Identity? = if (::identity.isInitialized) identity else null
+    fun contextOrNull(): RequestContext? = if (::context.isInitialized) context else null
 
     lateinit var ticket: Ticket
     lateinit var choice: Dispatched.Go
-    lateinit var relay: AnswerRelay
+    lateinit var relay: ResponseRelay
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryControl.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryControl.kt
@@ -43,7 +43,7 @@
     val retries: RetryBudget = RetryBudget(),
 ) {
     private val dispatch = DispatchController(admission, routing)
-    private val relays = mutableMapOf<RequestId, AnswerRelay>()
+    private val relays = mutableMapOf<RequestId, ResponseRelay>()
     private val sleepers = mutableMapOf<RequestId, CompletableDeferred<Dispatched>>()
 
     /** Lets a request wait; the result is completed when it may go or is refused. */
@@ -123,9 +123,9 @@
     /** Opens the memory of an answer; false when the budget has no room for it. */
     fun open(
         request: RequestId,
-        relay: AnswerRelay,
+        relay: ResponseRelay,
     ): Boolean {
-        val opened = readers.open(request, AnswerRelay.BASE_BYTES, clock.elapsed()) is HoldDecision.Hold
+        val opened = readers.open(request, ResponseRelay.BASE_BYTES, clock.elapsed()) is HoldDecision.Hold
         if (opened) relays[request] = relay
         return opened
     }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdentifyFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdentifyFilter.kt
@@ -39,11 +39,11 @@
         next: Next<EntryCall>,
     ): Outcome {
         val set = control.thread.decide { openSet() }
-        val identity = set.flatMap { identify(call, it) }
-        return identity.fold(
+        val context = set.flatMap { identify(call, it) }
+        return context.fold(
             { Outcome.Refused(it, Step.IDENTIFY, Peer.SELF) },
             {
-                call.identity = it
+                call.context = it
                 next.proceed(call)
             },
         )
@@ -62,13 +62,13 @@
     private fun identify(
         call: EntryCall,
         set: SealedSet,
-    ): Either<Refusal, Identity> =
+    ): Either<Refusal, RequestContext> =
         either {
             val route = set.objects.routeFor(call.caller.path) ?: raise(Refusal.UnknownRoute)
             val customer = set.objects.customersByToken[call.caller.token] ?: raise(Refusal.UnknownCustomer)
             val fleet = set.objects.fleets[route.fleet] ?: raise(Refusal.UnknownRoute)
             val work = workOf(call.caller, fleet).bind()
-            Identity(
+            RequestContext(
                 request = newRequest(),
                 route = route,
                 fleet = fleet,
@@ -76,7 +76,7 @@
                 revision = set.revision,
                 work = work,
                 key = call.caller.key,
-                deadline = call.arrived + route.deadline,
+                deadline = call.receivedAt + route.deadline,
                 tokens = tokensOf(work),
                 bytes = call.caller.body.size + answerBytes(work),
             )
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AnswerRelay.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/ResponseRelay.kt
@@ -15,18 +15,18 @@
 import lagoonrudder.model.Clock
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.VersionId
-import lagoonrudder.traffic.AnswerCheck
+import lagoonrudder.traffic.ResponseVerifier
 import lagoonrudder.traffic.RunEvent
 import java.util.concurrent.atomic.AtomicLong
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-class AnswerRelay(
+class ResponseRelay(
     private val request: RequestId,
     private val control: EntryControl,
     private val clock: Clock,
 ) {
-    private val whole = AnswerCheck(0)
+    private val whole = ResponseVerifier(0)
     private val buffered = Channel<ByteArray>(Channel.UNLIMITED)
     private val readSignal = Channel<Unit>(Channel.CONFLATED)
     private val held = AtomicLong()
@@ -57,7 +57,7 @@
 
     suspend fun start(
         head: RunEvent.Head,
-        sink: AnswerSink,
+        sink: ResponseSink,
     ) {
         started = true
         version = head.version
@@ -89,7 +89,7 @@
     }
 
     /** Writes to the caller until [complete]. */
-    suspend fun drain(sink: AnswerSink) {
+    suspend fun drain(sink: ResponseSink) {
         for (data in buffered) {
             sink.write(data)
             held.addAndGet(-data.size.toLong())
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/AdmissionFilters.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/AdmissionFilters.kt
@@ -103,7 +103,7 @@
             withContext(NonCancellable) { control.thread.decide { abandon(request, turn) } }
             throw gone
         }
-        return if (turn.isCompleted) turn.await() else control.thread.decide { control.giveUp(request) }
+        return if (turn.isCompleted) turn.await() else control.thread.decide { control.abandonAdmission(request) }
     }
 
     @OptIn(ExperimentalCoroutinesApi::class)
@@ -112,7 +112,7 @@
         turn: Deferred<Refusal?>,
     ) {
         if (!turn.isCompleted) {
-            control.giveUp(request)
+            control.abandonAdmission(request)
             return
         }
         val admitted = turn.getCompleted() == null
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/Reservations.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/KeyReservations.kt
@@ -14,12 +14,12 @@
 import lagoonrudder.model.TargetId
 import lagoonrudder.traffic.ReserveRequest
 import lagoonrudder.traffic.SurrenderRequest
-import lagoonrudder.traffic.TargetLink
+import lagoonrudder.traffic.TargetClient
 import kotlin.time.Duration.Companion.milliseconds
 
-class Reservations(
+class KeyReservations(
     private val control: TargetControl,
-    private val link: TargetLink,
+    private val link: TargetClient,
     private val clock: Clock,
 ) {
     suspend fun reserve(request: ReserveRequest): RepeatDecision {
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/RunFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/RunFilter.kt
@@ -23,10 +23,10 @@
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Refusal
 import lagoonrudder.model.Step
-import lagoonrudder.traffic.AnswerCheck
 import lagoonrudder.traffic.Filter
 import lagoonrudder.traffic.Next
 import lagoonrudder.traffic.ProgressLimits
+import lagoonrudder.traffic.ResponseVerifier
 import lagoonrudder.traffic.RunEvent
 import lagoonrudder.traffic.RunPermit
 import lagoonrudder.traffic.Work
@@ -44,7 +44,7 @@
 
 class RunFilter(
     private val control: TargetControl,
-    private val backEnd: BackEnd,
+    private val backEnd: LocalBackEnd,
     private val clock: Clock,
     private val invariants: Invariants,
     private val limits: EngineLimits,
@@ -62,7 +62,7 @@
         private val call: TargetCall,
         private val work: Work.Generate,
     ) {
-        private val check = AnswerCheck(call.run.offset)
+        private val check = ResponseVerifier(call.run.offset)
         private var started = false
 
         suspend fun run(): Outcome {
@@ -171,7 +171,7 @@
         call: TargetCall,
         answer: RecordedAnswer,
     ): Outcome {
-        val check = AnswerCheck(0)
+        val check = ResponseVerifier(0)
         check.follow(0, answer.body)
         call.emit(RunEvent.Head(call.run.request, call.run.attempt, null, answer.status, answer.contentType))
         call.emit(RunEvent.Bytes(0, answer.body, checksumOf(answer.body)))
@@ -196,7 +196,7 @@
 /** The filters of a target daemon in their order. */
 fun targetFilters(
     control: TargetControl,
-    backEnd: BackEnd,
+    backEnd: LocalBackEnd,
     clock: Clock,
     invariants: Invariants,
     limits: EngineLimits,
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/TargetCall.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/TargetCall.kt
@@ -22,14 +22,14 @@
 
 class TargetCall(
     val run: RunRequest,
-    val arrived: Duration,
+    val receivedAt: Duration,
     val emit: suspend (RunEvent) -> Unit,
 ) {
     /** The version that the engine served when the attempt was let in; null for a plain service. */
     var version: VersionId? = null
 
     /** When the limits let the attempt in. */
-    var admitted: Duration = arrived
+    var admitted: Duration = receivedAt
 
     /** What the run showed of the back end, for the limits. */
     @Volatile
@@ -63,7 +63,7 @@
 )
 
 /** The back end beside a target daemon. Failures say whether anything may have reached it. */
-interface BackEnd {
+interface LocalBackEnd {
     fun generate(request: GenerateRequest): Flow<Either<Failure, EngineEvent>>
 
     /** Calls a plain service; [Failure.Declined] is its own proof that it did not run. */
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/TargetControl.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/TargetControl.kt
@@ -123,7 +123,7 @@
     }
 
     /** The request gives up waiting; null when it was admitted meanwhile. */
-    fun giveUp(request: RequestId): Refusal? {
+    fun abandonAdmission(request: RequestId): Refusal? {
         if (turns.remove(request) == null) return null
         limits.leave(request)
         publish()
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/DirectMessages.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/DirectMessages.kt
@@ -8,8 +8,8 @@
 import kotlinx.serialization.ExperimentalSerializationApi
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.protobuf.ProtoNumber
+import lagoonrudder.control.direct.LivePeer
 import lagoonrudder.control.direct.PeerDaemon
-import lagoonrudder.control.direct.PeerSighting
 import lagoonrudder.control.direct.SlotWord
 import lagoonrudder.control.direct.StoreItem
 import lagoonrudder.control.direct.WeightManifest
@@ -81,7 +81,7 @@
     @ProtoNumber(1) val self: PeerMessage,
     @ProtoNumber(2) val at: Long,
     @ProtoNumber(3) val loads: List<LoadMessage> = emptyList(),
-    @ProtoNumber(4) val sightings: List<SightingMessage> = emptyList(),
+    @ProtoNumber(4) val livePeers: List<SightingMessage> = emptyList(),
     @ProtoNumber(5) val items: List<ItemMessage> = emptyList(),
 )
 
@@ -103,9 +103,9 @@
         address = addressOrNull(address),
     )
 
-fun PeerSighting.toMessage() = SightingMessage(peer.toMessage(), age.inWholeMilliseconds)
+fun LivePeer.toMessage() = SightingMessage(peer.toMessage(), age.inWholeMilliseconds)
 
-fun SightingMessage.toSighting() = PeerSighting(peer.toPeer(), ageMilliseconds.milliseconds)
+fun SightingMessage.toSighting() = LivePeer(peer.toPeer(), ageMilliseconds.milliseconds)
 
 fun Map<TargetId, Int>.toMessages() = map { LoadMessage(it.key.text, it.value) }
 
--- a/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcClient.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcClient.kt
@@ -37,7 +37,7 @@
 import lagoonrudder.traffic.RunEvent
 import lagoonrudder.traffic.RunRequest
 import lagoonrudder.traffic.SurrenderRequest
-import lagoonrudder.traffic.TargetLink
+import lagoonrudder.traffic.TargetClient
 import lagoonrudder.wire.messages.ChunkMessage
 import lagoonrudder.wire.messages.ChunkReply
 import lagoonrudder.wire.messages.EmptyMessage
@@ -63,7 +63,7 @@
 )
 
 class RpcClient :
-    TargetLink,
+    TargetClient,
     AutoCloseable {
     private enum class Use { REQUESTS, BULK }
 
