--- a/control/src/test/kotlin/lagoonrudder/control/direct/PlacementControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/direct/PlacementControllerTest.kt
@@ -79,20 +79,20 @@
 @OptIn(ExperimentalCoroutinesApi::class)
 class PlacementControllerTest :
     FunSpec({
-        test("the back end with the smallest share of its places taken gets the request") {
+        test("a request goes to the back end with the lowest utilization") {
             val scene = Scene(listOf(backEnd("a"), backEnd("b")))
             val targets = (1..8).map { scene.place().target }
             targets.count { it == TargetId("a") } shouldBe 4
         }
 
-        test("a request stays in its failure domain while the places there are not much shorter") {
+        test("a request stays in its failure domain while utilization there is not much higher") {
             val scene = Scene(listOf(backEnd("a"), backEnd("c", FAR)))
             (1..3).map { scene.place().target } shouldBe List(3) { TargetId("a") }
             val later = (1..3).map { scene.place().target }
             later.contains(TargetId("c")) shouldBe true
         }
 
-        test("a back end that reads a prompt from this process is passed over while another one reads none") {
+        test("a back end in prefill for this process is avoided while another one is not in prefill") {
             val scene = Scene(listOf(backEnd("a"), backEnd("b")))
             val first = scene.place(promptTokens = 1_000).target.shouldNotBeNull()
             scene.placement.onAttemptEnded(first, null, AttemptOutcome.ANSWERED, scene.now)
@@ -101,13 +101,13 @@
             scene.place(promptTokens = 1_000).target shouldBe TargetId(other)
         }
 
-        test("what other entry daemons have in flight counts") {
+        test("requests in flight from other entry daemons count towards the load") {
             val scene = Scene(listOf(backEnd("a"), backEnd("b")))
             scene.peers.onGossipReceived(peer("other"), mapOf(TargetId("a") to 4), scene.now)
             (1..3).map { scene.place().target }.toSet() shouldBe setOf(TargetId("b"))
         }
 
-        test("a request waits for a place and gets the first that is free") {
+        test("a queued request gets the first slot that becomes free") {
             val scene = Scene(listOf(backEnd("a")))
             repeat(5) { scene.place().target shouldBe TargetId("a") }
             val waiting = scene.place(maxWait = 1.seconds)
@@ -129,17 +129,17 @@
                 .shouldBeInstanceOf<Refusal.Overloaded>()
         }
 
-        test("a request whose patience is over is decided at once, and the others stay in line") {
+        test("a request whose wait has timed out is decided immediately, and the others stay queued") {
             val scene = Scene(listOf(backEnd("a")))
             repeat(5) { scene.place() }
-            val impatient = scene.place(maxWait = 100.milliseconds)
-            val patient = scene.place(maxWait = 1.seconds)
-            scene.placement.onWaitTimeout(impatient, scene.now + 100.milliseconds)
-            impatient.getCompleted().shouldBeInstanceOf<Placement.Refused>()
-            patient.isCompleted shouldBe false
+            val shortWait = scene.place(maxWait = 100.milliseconds)
+            val longWait = scene.place(maxWait = 1.seconds)
+            scene.placement.onWaitTimeout(shortWait, scene.now + 100.milliseconds)
+            shortWait.getCompleted().shouldBeInstanceOf<Placement.Refused>()
+            longWait.isCompleted shouldBe false
         }
 
-        test("the place of a request that was withdrawn goes to the next in line") {
+        test("a free slot skips a cancelled request and goes to the next one in the queue") {
             val scene = Scene(listOf(backEnd("a")))
             repeat(5) { scene.place() }
             val first = scene.place(maxWait = 1.seconds)
@@ -149,7 +149,7 @@
             second.target shouldBe TargetId("a")
         }
 
-        test("the customer with less in flight goes first when places are short") {
+        test("the customer with fewer requests in flight goes first when slots are scarce") {
             val scene = Scene(listOf(backEnd("a")))
             repeat(5) { scene.place(customer = "large") }
             val large = scene.place(maxWait = 1.seconds, customer = "large")
@@ -159,7 +159,7 @@
             large.isCompleted shouldBe false
         }
 
-        test("a request that can still be in time goes before one whose objective has passed") {
+        test("a request that can still meet its latency objective goes before one that can't") {
             val scene = Scene(listOf(backEnd("a")))
             repeat(5) { scene.place() }
             val late = scene.place(maxWait = 1.seconds, isLate = true)
@@ -169,7 +169,7 @@
             late.isCompleted shouldBe false
         }
 
-        test("the last places of an engine are kept for requests that can still be in time") {
+        test("the last slots of an engine are reserved for requests that can still meet their latency objective") {
             val scene = Scene(listOf(backEnd("a")))
             repeat(2) { scene.place(isLate = true).target shouldBe TargetId("a") }
             scene
@@ -181,20 +181,20 @@
             scene.place().target shouldBe TargetId("a")
         }
 
-        test("a leaving back end and an evacuated failure domain get nothing") {
+        test("a leaving back end and an evacuated failure domain get no requests") {
             val scene = Scene(listOf(backEnd("a", leaving = true), backEnd("b"), backEnd("c", FAR)))
             scene.evacuate(NEAR)
             (1..3).map { scene.place().target }.toSet() shouldBe setOf(TargetId("c"))
         }
 
-        test("homes bind, and all of them") {
+        test("a back end must be in the home regions of both the route and the customer") {
             val scene = Scene(listOf(backEnd("a"), backEnd("c", FAR)))
             scene.place(homes = listOf(setOf(RegionId("far-region")), emptySet())).target shouldBe TargetId("c")
-            val nowhere = scene.place(homes = listOf(setOf(RegionId("far-region")), setOf(RegionId("near-region"))))
-            nowhere.getCompleted().shouldBeInstanceOf<Placement.Refused>()
+            val unplaceable = scene.place(homes = listOf(setOf(RegionId("far-region")), setOf(RegionId("near-region"))))
+            unplaceable.getCompleted().shouldBeInstanceOf<Placement.Refused>()
         }
 
-        test("a back end without whole weights gets nothing until its daemon says that it holds them") {
+        test("a back end without complete weights gets no requests until its daemon reports that it holds them") {
             val empty = backEnd("a", number = null)
             val scene = Scene(listOf(empty))
             scene.place().getCompleted().shouldBeInstanceOf<Placement.Refused>()
@@ -205,7 +205,7 @@
             scene.place().target shouldBe TargetId("a")
         }
 
-        test("the word about an earlier life of a back end doesn't count") {
+        test("a status of an earlier incarnation of a back end is ignored") {
             val restarted = backEnd("a", number = null, born = 2)
             val scene = Scene(listOf(restarted))
             scene.slots.onGossipReceived(
@@ -215,21 +215,21 @@
             scene.place().getCompleted().shouldBeInstanceOf<Placement.Refused>()
         }
 
-        test("a back end whose daemon speaks of a later life at its address gets nothing") {
+        test("a back end gets no requests once its daemon reports a later incarnation at its address") {
             val replaced = backEnd("a", born = 1)
             val scene = Scene(listOf(replaced, backEnd("b")))
             scene.slots.onGossipReceived(SlotWord(replaced.address, 2, null, closed = false), scene.now)
             (1..3).map { scene.place().target }.toSet() shouldBe setOf(TargetId("b"))
         }
 
-        test("a back end that loads gets nothing") {
+        test("a back end that is loading gets no requests") {
             val scene = Scene(listOf(backEnd("a"), backEnd("b")))
             val loading = backEnd("a")
             scene.slots.onGossipReceived(SlotWord(loading.address, loading.born, loading.weights, closed = true), scene.now)
             (1..3).map { scene.place().target }.toSet() shouldBe setOf(TargetId("b"))
         }
 
-        test("an older version serves until its time is nearly over, then only the declared one, which the request asks for") {
+        test("an older version serves until its switch deadline is near, then only the declared one, which the request requires") {
             val scene = Scene(listOf(backEnd("old", number = 1), backEnd("new", number = 2)))
             scene.declare(2)
             val before = (1..6).map { scene.place().target.shouldNotBeNull() }
@@ -243,7 +243,7 @@
             }
         }
 
-        test("a back end whose version is about to be too old gets only what it can begin at once") {
+        test("a back end close to its switch deadline gets only the requests that it can start immediately") {
             val scene = Scene(listOf(backEnd("old", number = 1)))
             scene.declare(2)
             scene.now += 6.2.seconds
@@ -256,7 +256,7 @@
                 .shouldBeInstanceOf<Refusal.Overloaded>()
         }
 
-        test("a version that is declared on top of another doesn't put off the time of the first") {
+        test("a further declared version does not postpone the switch deadline of the previous one") {
             val scene = Scene(listOf(backEnd("old", number = 1), backEnd("new", number = 2)))
             scene.declare(2)
             scene.now += 2.seconds
@@ -265,7 +265,7 @@
             repeat(3) { scene.place().target shouldBe TargetId("new") }
         }
 
-        test("a stream that goes on elsewhere goes on with the version that began it") {
+        test("a stream that is resumed elsewhere continues with the version that started it") {
             val scene = Scene(listOf(backEnd("old", number = 1), backEnd("new", number = 2)))
             scene.place(number = 1).target shouldBe TargetId("old")
             scene.place(number = 2).target shouldBe TargetId("new")
@@ -288,7 +288,7 @@
             sent.sum() shouldBeLessThanOrEqual bound.toInt()
         }
 
-        test("failures in a row set a back end aside, and an answer ends that") {
+        test("consecutive failures eject a back end until the ejection time has passed") {
             val scene = Scene(listOf(backEnd("a"), backEnd("b")))
             repeat(3) {
                 scene.place(excluded = setOf(TargetId("b")))
--- a/control/src/test/kotlin/lagoonrudder/control/direct/SharesTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/direct/SharesTest.kt
@@ -32,7 +32,7 @@
             spent.toDouble() shouldBeLessThanOrEqual 0.2 * 50 * entries + 100
         }
 
-        test("what was spent comes back when the window has passed") {
+        test("spent budget becomes available again after the window has passed") {
             val share = RetryBudgetShare(bounds.copy(allowance = 2.0))
             generateSequence { share.spend(ENGINES, 1, 1.seconds) }.takeWhile { it }.count() shouldBe 1
             share.spend(ENGINES, 1, 12.seconds) shouldBe true
@@ -41,7 +41,7 @@
 
 class PeerControllerTest :
     FunSpec({
-        test("a daemon that was heard of counts as alive for a while, and for shares much longer") {
+        test("a peer counts as alive for a short time after its last contact, and towards the shares much longer") {
             val peers = PeerController(peer("self"), emptyList())
             peers.onGossipReceived(peer("other"), emptyMap(), 10.seconds)
             peers.liveEntries(11.seconds).size shouldBe 2
@@ -50,13 +50,13 @@
             peers.entryCount(17.seconds) shouldBe 2
         }
 
-        test("daemons learn of each other from each other") {
+        test("daemons discover each other through gossip") {
             val peers = PeerController(peer("self"), listOf(Address("10.1.0.250", 70)))
             peers.mergeLivePeers(listOf(LivePeer(peer("third"), 500.milliseconds)), 10.seconds)
             peers.gossipAddresses(10.seconds) shouldContain peer("third").address.shouldNotBeNull()
         }
 
-        test("an old word about what is in flight doesn't count") {
+        test("an expired report of requests in flight is ignored") {
             val peers = PeerController(peer("self"), emptyList())
             val target = backEnd("a").id
             peers.onGossipReceived(peer("other"), mapOf(target to 3), 10.seconds)
@@ -96,7 +96,7 @@
             10.seconds,
         )
 
-        test("a back end without weights wants the newest, one with the declared version nothing") {
+        test("a back end without weights loads the newest version, one with the declared version loads nothing") {
             val (storeView, staging) = scene()
             staging
                 .weightsToLoad(ENGINES, report(null))
@@ -111,7 +111,7 @@
             staging.weightsToLoad(ENGINES, report(2)).shouldNotBeNull().number shouldBe WeightNumber(3)
         }
 
-        test("a version that is half staged is finished although a newer one was declared") {
+        test("a version that is half staged is completed although a newer one was declared") {
             val (storeView, staging) = scene()
             staging.shouldFinishStaging(MODEL, WeightNumber(1), 0, 48) shouldBe true
             declare(storeView, 2)
@@ -122,25 +122,25 @@
             staging.shouldFinishStaging(MODEL, WeightNumber(3), 0, 48) shouldBe true
         }
 
-        test("pieces come from entry daemons of the own region first and from the origin last") {
+        test("chunks are fetched from entry daemons of the same region first and from the origin last") {
             val (_, staging) = scene()
             val sources = staging.sources(MODEL, WeightNumber(1), 0, 10.seconds)
             sources.first().shouldBeInstanceOf<WeightSource.Entry>()
             sources.last().shouldBeInstanceOf<WeightSource.Origin>()
         }
 
-        test("an entry daemon leads the pieces for which the target daemons of its region ask it first") {
+        test("an entry daemon is the primary source of the chunks that target daemons of its region request from it first") {
             val (_, staging) = scene()
-            val led = (0 until 40).filter { staging.isPrimarySource(MODEL, WeightNumber(1), it, 10.seconds) }
-            led shouldBe
+            val primaryChunks = (0 until 40).filter { staging.isPrimarySource(MODEL, WeightNumber(1), it, 10.seconds) }
+            primaryChunks shouldBe
                 (0 until 40).filter {
                     staging.sources(MODEL, WeightNumber(1), it, 10.seconds).first() ==
                         WeightSource.Entry(peer("self").address!!)
                 }
-            (led.size in 10..30) shouldBe true
+            (primaryChunks.size in 10..30) shouldBe true
         }
 
-        test("only an entry daemon in the origin's region draws from the origin first") {
+        test("only an entry daemon in the origin's region fetches from the origin first") {
             val (_, staging) = scene()
             val far = peer("far-entry", FAR).address.shouldNotBeNull()
             (0 until 20).forEach {
@@ -154,10 +154,10 @@
             }
         }
 
-        test("back ends that serve switch one after the other, all within the time to spread; an empty one needn't wait") {
+        test("serving back ends switch one after another, all within the rollout time; an empty one need not wait") {
             val (storeView, staging) = scene()
             declare(storeView, 2)
-            val turns =
+            val switches =
                 storeView.backEnds.map {
                     staging
                         .scheduledSwitch(
@@ -167,12 +167,12 @@
                             WeightNumber(2),
                         ).shouldNotBeNull()
                 }
-            turns.map { it.at }.toSet().size shouldBe storeView.backEnds.size
-            turns.filter { it.at > 10.seconds + 6.5.seconds }.shouldBeEmpty()
+            switches.map { it.at }.toSet().size shouldBe storeView.backEnds.size
+            switches.filter { it.at > 10.seconds + 6.5.seconds }.shouldBeEmpty()
             staging.scheduledSwitch(ENGINES, backEnd("b1").address, report(null), WeightNumber(2)).shouldBeNull()
         }
 
-        test("a version declared on top of another doesn't put off the turns of the first") {
+        test("a further declared version does not postpone the scheduled switches of the previous one") {
             val (storeView, staging) = scene()
             val first = WeightNumber(2)
             declare(storeView, 2)
@@ -181,30 +181,30 @@
             storeView.backEnds.map { staging.scheduledSwitch(ENGINES, it.address, report(1), first).shouldNotBeNull().at } shouldBe before
         }
 
-        test("the back ends that switch first hand unfinished requests to those that switch later, and the last let them end") {
+        test("back ends that switch early hand over unfinished requests to those that switch later, and the last ones drain") {
             val (storeView, staging) = scene()
             declare(storeView, 2)
             val two = WeightNumber(2)
-            val turns = storeView.backEnds.map { staging.scheduledSwitch(ENGINES, it.address, report(1), two).shouldNotBeNull() }
-            val handovers = turns.sortedBy { it.at }.map { it.handover(it.at) }
+            val switches = storeView.backEnds.map { staging.scheduledSwitch(ENGINES, it.address, report(1), two).shouldNotBeNull() }
+            val handovers = switches.sortedBy { it.at }.map { it.handover(it.at) }
             handovers shouldBe List(7) { Handover.RESUME_ELSEWHERE } + List(1) { Handover.DRAIN }
         }
 
-        test("a back end that comes to its turn late, when the others have switched, lets its requests end") {
+        test("a back end that switches later than scheduled, after the others, drains its requests") {
             val (storeView, staging) = scene()
             declare(storeView, 2)
             val two = WeightNumber(2)
-            val turns = storeView.backEnds.map { staging.scheduledSwitch(ENGINES, it.address, report(1), two).shouldNotBeNull() }
-            val last = turns.maxOf { it.at }
-            turns.map { it.handover(last) }.toSet() shouldBe setOf(Handover.DRAIN)
+            val switches = storeView.backEnds.map { staging.scheduledSwitch(ENGINES, it.address, report(1), two).shouldNotBeNull() }
+            val last = switches.maxOf { it.at }
+            switches.map { it.handover(last) }.toSet() shouldBe setOf(Handover.DRAIN)
         }
 
-        test("no back end breaks off requests of a service that has a route whose requests can't go on elsewhere") {
+        test("no back end aborts requests of a service that has a route whose requests can't be resumed elsewhere") {
             val (storeView, staging) = scene()
             val set = servingSet(2).copy(routes = listOf(route(RequestKind.Stream(resumable = false, longestPause = null))))
             storeView.applyChanges(listOf(item("op/config", 15, Published.Serving(set))), 15, 9.seconds)
             declare(storeView, 2)
-            val turns =
+            val switches =
                 storeView.backEnds.map {
                     staging
                         .scheduledSwitch(
@@ -214,6 +214,6 @@
                             WeightNumber(2),
                         ).shouldNotBeNull()
                 }
-            turns.map { it.handover(it.at) }.toSet() shouldBe setOf(Handover.DRAIN)
+            switches.map { it.handover(it.at) }.toSet() shouldBe setOf(Handover.DRAIN)
         }
     })
--- a/control/src/test/kotlin/lagoonrudder/control/direct/StoreViewControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/direct/StoreViewControllerTest.kt
@@ -18,28 +18,28 @@
     FunSpec({
         val start = 10.seconds
 
-        test("an older configuration never takes the place of a newer one, whoever offers it") {
+        test("an older configuration never replaces a newer one, whatever its source") {
             val storeView = StoreViewController(strictInvariants())
             storeView.applyChanges(listOf(item("op/config", 7, Published.Serving(servingSet(9)))), 7, start)
             storeView.applyChanges(listOf(item("op/config", 5, Published.Serving(servingSet(4)))), 8, start)
             storeView.serving?.revision?.number shouldBe 9
         }
 
-        test("a stale whole read changes nothing") {
+        test("a stale full read changes nothing") {
             val storeView = StoreViewController(strictInvariants())
             storeView.applyChanges(listOf(registered(backEnd("a"), 4)), 9, start)
             storeView.applySnapshot(emptyList(), 6, start)
             storeView.backEnds.map { it.id.text } shouldContainExactly listOf("a")
         }
 
-        test("a whole read after lost history takes away what is no longer there") {
+        test("a full read after lost history removes items that no longer exist") {
             val storeView = StoreViewController(strictInvariants())
             storeView.applyChanges(listOf(registered(backEnd("a"), 4), registered(backEnd("b"), 5)), 5, start)
             storeView.applySnapshot(listOf(registered(backEnd("b"), 5)), 20, start)
             storeView.backEnds.map { it.id.text } shouldContainExactly listOf("b")
         }
 
-        test("an entry that lapsed while the store was away stays until its grace ends, and for good when it is back") {
+        test("a registration that expired while the store was unavailable stays for a grace period, and permanently if it is renewed") {
             val storeView = StoreViewController(strictInvariants())
             storeView.applyChanges(listOf(registered(backEnd("a"), 1), registered(backEnd("b"), 2)), 2, start)
             storeView.onStoreUnavailable(start)
@@ -51,40 +51,40 @@
             storeView.backEnds.map { it.id.text } shouldContainExactly listOf("b")
         }
 
-        test("an entry that is removed while the store is sound goes at once") {
+        test("a registration that is removed while the store is available is removed immediately") {
             val storeView = StoreViewController(strictInvariants())
             storeView.applyChanges(listOf(registered(backEnd("a"), 1)), 1, start)
             storeView.applyChanges(listOf(item("servers/a", 2, null)), 2, start).removed shouldContainExactly listOf(TargetId("a"))
             storeView.backEnd(TargetId("a")).shouldBeNull()
         }
 
-        test("an entry that can no longer be read names no back end") {
+        test("a registration that becomes unreadable removes its back end") {
             val storeView = StoreViewController(strictInvariants())
             storeView.applyChanges(listOf(registered(backEnd("a"), 1)), 1, start)
             storeView.applyChanges(listOf(item("servers/a", 2, Published.Unusable("field slots"))), 2, start).unusable.size shouldBe 1
             storeView.backEnds.size shouldBe 0
         }
 
-        test("a declared version only rises") {
+        test("a declared version never decreases") {
             val storeView = StoreViewController(strictInvariants())
             storeView.applyChanges(listOf(item("op/version/model", 3, Published.Declared(MODEL, WeightNumber(2)))), 3, start)
             storeView.applyChanges(listOf(item("op/version/model", 4, Published.Declared(MODEL, WeightNumber(1)))), 4, start + 1.seconds)
             storeView.declared(MODEL).shouldNotBeNull().number shouldBe WeightNumber(2)
         }
 
-        test("a version that was declared before the start counts as declared long ago") {
+        test("a version that was declared before the start gets the assumed age") {
             val storeView = StoreViewController(strictInvariants(), ageAtStart = 6.seconds)
             storeView.applyChanges(listOf(item("op/version/model", 3, Published.Declared(MODEL, WeightNumber(2)))), 3, start)
             storeView.declaredAsOf(MODEL, start - 6.seconds).shouldNotBeNull().number shouldBe WeightNumber(2)
         }
 
-        test("an evacuated failure domain is taken back when its item goes") {
+        test("a failure domain is no longer evacuated after its item is removed") {
             val storeView = StoreViewController(strictInvariants())
             storeView.applyChanges(listOf(item("op/evacuate/near", 3, Published.Evacuated(NEAR))), 3, start).evacuated shouldBe setOf(NEAR)
             storeView.applyChanges(listOf(item("op/evacuate/near", 4, null)), 4, start).evacuated shouldBe emptySet()
         }
 
-        test("a peer gets what changed after its revision, removals too") {
+        test("a peer gets the changes after its revision, including removals") {
             val storeView = StoreViewController(strictInvariants())
             storeView.applyChanges(listOf(registered(backEnd("a"), 1), registered(backEnd("b"), 2)), 2, start)
             storeView.applyChanges(listOf(item("servers/a", 3, null)), 3, start)
@@ -92,7 +92,7 @@
                 listOf("servers/a" to true, "servers/b" to false)
         }
 
-        test("after a pause nothing is confirmed until the store or a peer answers") {
+        test("after a pause the view is unconfirmed until the store or a peer responds") {
             val storeView = StoreViewController(strictInvariants())
             storeView.applyChanges(listOf(item("op/config", 1, Published.Serving(servingSet(1)))), 1, start)
             storeView.confirmed shouldBe true
@@ -102,11 +102,11 @@
             storeView.confirmed shouldBe true
         }
 
-        test("an entry that lapsed and came back within one answer of the store stays") {
-            for (isDisturbed in listOf(true, false)) {
+        test("a registration that expired and was renewed within one store response stays") {
+            for (storeUnavailable in listOf(true, false)) {
                 val storeView = StoreViewController(strictInvariants())
                 storeView.applyChanges(listOf(registered(backEnd("a"), 2)), 2, 1.seconds)
-                if (isDisturbed) storeView.onStoreUnavailable(5.seconds)
+                if (storeUnavailable) storeView.onStoreUnavailable(5.seconds)
                 val removed = storeView.applyChanges(listOf(item("servers/a", 3, null), registered(backEnd("a"), 4)), 4, 6.seconds).removed
                 removed.shouldBeEmpty()
                 storeView.expire(60.seconds).shouldBeEmpty()
@@ -114,7 +114,7 @@
             }
         }
 
-        test("an entry that a peer with a sound store says is gone goes at once, although this process's own store is away") {
+        test("a removal settled by a peer takes effect immediately, although this process can't reach the store") {
             val storeView = StoreViewController(strictInvariants())
             storeView.applyChanges(listOf(registered(backEnd("a"), 2)), 2, 1.seconds)
             storeView.onStoreUnavailable(5.seconds)
@@ -123,7 +123,7 @@
             storeView.backEnd(TargetId("a")).shouldBeNull()
         }
 
-        test("an entry that may have lapsed with the store is told to peers only once it is gone") {
+        test("peers learn of a pending removal only after it has taken effect") {
             val storeView = StoreViewController(strictInvariants())
             storeView.applyChanges(listOf(registered(backEnd("a"), 2), registered(backEnd("b"), 3)), 3, 1.seconds)
             storeView.onStoreUnavailable(5.seconds)
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/FilterChain.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/FilterChain.kt
@@ -1,14 +1,14 @@
 /**
- * A chain of filters through which every request goes.
+ * The filter chain that processes every request.
  *
- * A filter may refuse a call, pass it on, or wrap what comes after it. Filters hold no control state: they ask the
- * controllers, on the control thread, and act on the decision.
+ * A filter may refuse a call, forward it to the next filter, or wrap the rest of the chain. Filters hold no control state:
+ * they query the controllers on the control thread and act on the decision.
  */
 package lagoonrudder.traffic
 
 import lagoonrudder.model.Outcome
 
-/** What comes after a filter. */
+/** The rest of the chain after a filter. */
 fun interface Next<C> {
     suspend fun proceed(call: C): Outcome
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/Messages.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/Messages.kt
@@ -1,5 +1,5 @@
 /**
- * What entry daemons and target daemons say to each other about a request, free of any encoding.
+ * The messages between entry daemons and target daemons about a request, independent of their encoding.
  */
 package lagoonrudder.traffic
 
@@ -22,15 +22,15 @@
 import lagoonrudder.model.VersionId
 import kotlin.time.Duration
 
-/** The work that a caller asks for. */
+/** The work that a caller requests. */
 sealed class Work {
-    /** Text from an engine; the answer may resume at any offset. */
+    /** Text generation by an engine; the response may be resumed at any offset. */
     data class Generate(
         val prompt: String,
         val maximumTokens: Int,
     ) : Work()
 
-    /** A call of a plain service. */
+    /** An HTTP call to a plain service. */
     class Plain(
         val method: String,
         val path: String,
@@ -39,15 +39,15 @@
     ) : Work()
 }
 
-/** The proof that a request which may run at most once may run now. */
+/** The permission to run, now and once, a request that may run at most once. */
 data class RunPermit(
     val key: RepeatKey,
     val number: Long,
 )
 
 /**
- * One attempt to run a request. [versions] are the versions that may answer, [offset] is where the answer must start,
- * [timeLeft] is what is left of the deadline when the message is sent, [tokens] the memory it may need.
+ * One attempt to run a request. [versions] are the versions that may serve it, [offset] is the byte at which the response must
+ * start, [timeLeft] is the time until the deadline when the message is sent, and [tokens] is the memory that it may need.
  */
 data class RunRequest(
     val request: RequestId,
@@ -64,9 +64,9 @@
     val work: Work,
 )
 
-/** Part of the answer of one attempt. */
+/** A part of the response to one attempt. */
 sealed class RunEvent {
-    /** The attempt did not run and will not run; [room] is what the target has, when it could say. */
+    /** The attempt did not run and will not run; [room] is the load of the target, if known. */
     data class NotRun(
         val refusal: Refusal,
         val room: Room?,
@@ -80,14 +80,14 @@
         val contentType: String,
     ) : RunEvent()
 
-    /** Bytes of the answer at [offset]; [checksum] is that of [data] alone. */
+    /** Bytes of the response at [offset]; [checksum] covers [data] only. */
     class Bytes(
         val offset: Long,
         val data: ByteArray,
         val checksum: Long,
     ) : RunEvent()
 
-    /** The mark of a whole answer: its length from offset zero, and the checksum of the bytes of this attempt. */
+    /** The end mark of a complete response: its length from offset zero, and the checksum of the bytes of this attempt. */
     data class End(
         val length: Long,
         val checksum: Long,
@@ -103,13 +103,13 @@
     val revision: Revision,
 )
 
-/** The new owner of a key asks an earlier one to give it up. */
+/** The request of a key's new owner that a previous owner release the key. */
 data class SurrenderRequest(
     val key: RepeatKey,
     val revision: Revision,
 )
 
-/** A connection to target daemons. Failures say whether anything may have left this process. */
+/** A client for target daemons. Failures tell whether anything may have been sent. */
 interface TargetClient {
     suspend fun reserve(
         target: Instance,
@@ -117,16 +117,16 @@
         limit: Duration,
     ): Either<Failure, RepeatDecision>
 
-    /** Runs one attempt; the flow ends after a failure, a refusal or the end mark, and cancelling it cancels the attempt. */
+    /** Runs one attempt; the flow ends after a failure, a refusal or the end mark. Cancelling the flow cancels the attempt. */
     fun run(
         target: Instance,
         request: RunRequest,
     ): Flow<Either<Failure, RunEvent>>
 
-    /** The reports of [target], one at once and then whenever something changes, at least once a second. */
+    /** Returns the reports of [target]: one immediately, then one on every change and at least once per second. */
     fun reports(target: Instance): Flow<Either<Failure, TargetReport>>
 
-    /** How far the switch of [target] is. */
+    /** Returns the progress of the version switch of [target]. */
     suspend fun switchReport(
         target: Instance,
         limit: Duration,
@@ -138,6 +138,6 @@
         limit: Duration,
     ): Either<Failure, Surrender>
 
-    /** Drops the connection to [target]; the next use opens a new one. */
+    /** Closes the connection to [target]; the next call opens a new one. */
     fun reset(target: Instance)
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/Progress.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/Progress.kt
@@ -1,5 +1,5 @@
 /**
- * A flow with a limit on the time without progress.
+ * Timeouts for flows that make no progress.
  */
 package lagoonrudder.traffic
 
@@ -17,13 +17,13 @@
 import lagoonrudder.model.Step
 import kotlin.time.Duration
 
-/** How long a peer may take to its first event, and then to each further one. */
+/** The timeouts for the first event of a peer and for each further one. */
 data class ProgressLimits(
     val first: Duration,
     val next: Duration,
 )
 
-/** Ends with [Failure.TimedOut] when the source stays silent for too long; time spent in the collector does not count. */
+/** Ends with [Failure.TimedOut] if the source emits nothing in time; time spent in the collector does not count. */
 fun <T> Flow<Either<Failure, T>>.withProgressLimits(
     limits: ProgressLimits,
     step: Step,
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/ResponseVerifier.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/ResponseVerifier.kt
@@ -1,38 +1,38 @@
 /**
- * The running check of one attempt's answer: bytes without gaps, and the length and checksum of the end mark.
+ * Incremental verification of one attempt's response: no gaps between its bytes, and the length and checksum of the end mark.
  */
 package lagoonrudder.traffic
 
 import java.util.zip.CRC32C
 
-/** Follows an answer that starts at [offset]. */
+/** Verifies a response that starts at [offset]. */
 class ResponseVerifier(
     offset: Long,
 ) {
     var length: Long = offset
         private set
-    private val sum = CRC32C()
+    private val crc = CRC32C()
 
-    /** The checksum of the bytes so far. */
-    val checksum: Long get() = sum.value
+    /** The checksum of the bytes appended so far. */
+    val checksum: Long get() = crc.value
 
-    /** Takes in [data] at [offset]; false when it doesn't follow what came before. */
-    fun follow(
+    /** Appends [data] at [offset]; returns false if that is not where the previous bytes end. */
+    fun append(
         offset: Long,
         data: ByteArray,
     ): Boolean {
         if (offset != length) return false
-        sum.update(data)
+        crc.update(data)
         length += data.size
         return true
     }
 
-    /** Whether the answer ends here with this length and checksum. */
-    fun endsWith(
+    /** Returns whether the bytes so far have the given total length and checksum. */
+    fun matchesEnd(
         length: Long,
         checksum: Long,
     ): Boolean = length == this.length && checksum == this.checksum
 }
 
-/** The CRC-32C checksum of [data]. */
+/** Returns the CRC-32C checksum of [data]. */
 fun checksumOf(data: ByteArray): Long = CRC32C().apply { update(data) }.value
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectCall.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectCall.kt
@@ -1,5 +1,5 @@
 /**
- * A request on its way through the filters of the direct way, with what each filter found out.
+ * A request in the filter chain of the direct mode, with the results of each filter.
  */
 package lagoonrudder.traffic.direct
 
@@ -14,8 +14,9 @@
 import kotlin.time.Duration
 
 /**
- * What the identify filter found. [deadline] is when the caller or the route stops waiting; [isLate] tells that the caller has
- * waited longer than the route's objective before it sent this, for example because an earlier request was refused.
+ * The result of [DirectIdentifyFilter]. [deadline] is the time at which the caller or the route stops waiting; [isLate] is set
+ * if the caller had waited longer than the route's latency objective before it sent this request, for example because an
+ * earlier request was refused.
  */
 class DirectRequestContext(
     val revision: Revision,
@@ -27,11 +28,11 @@
     val homes: List<Set<RegionId>>,
     val isLate: Boolean,
 ) {
-    /** What is left of the caller's and the route's time. */
+    /** Returns the time left until the deadline. */
     fun timeLeft(clock: Clock): Duration = deadline - clock.elapsed()
 }
 
-/** One attempt and how it went, for the log. */
+/** One attempt and its result, for the log. */
 data class AttemptRecord(
     val target: TargetId,
     val result: String,
@@ -39,21 +40,21 @@
 
 class DirectCall(
     val request: DirectRequest,
-    val answer: CallerResponse,
+    val response: CallerResponse,
     val receivedAt: Duration,
 ) {
-    private var known: DirectRequestContext? = null
+    private var identified: DirectRequestContext? = null
     val attempts = mutableListOf<AttemptRecord>()
     var queueTime: Duration = Duration.ZERO
     var timeToFirstEvent: Duration? = null
     var lastFailure: Failure? = null
 
-    val contextOrNull: DirectRequestContext? get() = known
+    val contextOrNull: DirectRequestContext? get() = identified
 
-    /** What the identify filter found; only filters after it may ask. */
-    val context: DirectRequestContext get() = checkNotNull(known) { "asked before the identify filter" }
+    /** The result of the identify filter; available to later filters only. */
+    val context: DirectRequestContext get() = checkNotNull(identified) { "request context read before the identify filter set it" }
 
     fun identify(context: DirectRequestContext) {
-        known = context
+        identified = context
     }
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectControl.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectControl.kt
@@ -1,5 +1,5 @@
 /**
- * The controllers that the filters of the direct way ask, on the control thread.
+ * The controllers that the filters of the direct mode query on the control thread.
  */
 package lagoonrudder.traffic.direct
 
@@ -17,18 +17,18 @@
     val storeView: StoreViewController,
     val peers: PeerController,
     val placement: PlacementController,
-    val repeats: RetryBudgetShare,
+    val retryBudget: RetryBudgetShare,
 ) {
     private var confirmation = CompletableDeferred<Unit>()
 
-    /** Completes once what is in force is confirmed; runs on the control thread. */
+    /** Completes once the active configuration is confirmed; runs on the control thread. */
     fun confirmation(): CompletableDeferred<Unit> {
         if (storeView.confirmed) return CompletableDeferred(Unit)
         if (confirmation.isCompleted) confirmation = CompletableDeferred()
         return confirmation
     }
 
-    /** The publication changed or was confirmed; runs on the control thread. */
+    /** Handles a change or a confirmation of the store view; runs on the control thread. */
     fun onStoreViewChanged() {
         if (storeView.confirmed) confirmation.complete(Unit)
         placement.removeStaleStats()
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectFilters.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectFilters.kt
@@ -1,5 +1,5 @@
 /**
- * The filters of the direct way, in order: account, identify, send.
+ * The filters of the direct mode, in order: accounting, identify, send.
  */
 package lagoonrudder.traffic.direct
 
@@ -20,15 +20,15 @@
 
 fun directFilters(
     control: DirectControl,
-    link: BackEndClient,
+    client: BackEndClient,
     random: Random,
-    ended: (DirectCall, Outcome?) -> Unit,
+    onEnded: (DirectCall, Outcome?) -> Unit,
 ): List<Filter<DirectCall>> =
-    listOf(DirectAccountingFilter(ended), DirectIdentifyFilter(control, random), DirectSendFilter(control, link, DirectLimits()))
+    listOf(DirectAccountingFilter(onEnded), DirectIdentifyFilter(control, random), DirectSendFilter(control, client, DirectLimits()))
 
-/** Tells [ended] how each request went; a null outcome means that the caller left. */
+/** Reports the outcome of each request to [onEnded]; a null outcome means that the caller disconnected. */
 class DirectAccountingFilter(
-    private val ended: (DirectCall, Outcome?) -> Unit,
+    private val onEnded: (DirectCall, Outcome?) -> Unit,
 ) : Filter<DirectCall> {
     override suspend fun handle(
         call: DirectCall,
@@ -38,12 +38,12 @@
         try {
             return next.proceed(call).also { outcome = it }
         } finally {
-            ended(call, outcome)
+            onEnded(call, outcome)
         }
     }
 }
 
-/** Finds the route, the customer and the service of a request in the configuration in force. */
+/** Resolves the route, the customer and the service of a request from the active configuration. */
 class DirectIdentifyFilter(
     private val control: DirectControl,
     private val random: Random,
@@ -53,7 +53,7 @@
         next: Next<DirectCall>,
     ): Outcome {
         val confirmation = control.thread.decide { control.confirmation() }
-        withTimeoutOrNull(CONFIRM_LIMIT) { confirmation.await() }
+        withTimeoutOrNull(CONFIRMATION_TIMEOUT) { confirmation.await() }
         val serving =
             control.thread.decide { control.storeView.serving } ?: return refused(Refusal.NotServing(RETRY_AFTER, "no configuration"))
         val refusal = identify(call, serving)
@@ -68,7 +68,7 @@
         val route = serving.route(request.host, request.path.substringBefore('?')) ?: return Refusal.UnknownRoute
         val customer = request.key?.let { serving.customerOf(it) }
         if (serving.asksForKeys && !route.open && customer == null) return Refusal.UnknownCustomer
-        val service = pick(route) ?: return Refusal.NoTarget(RETRY_AFTER)
+        val service = pickService(route) ?: return Refusal.NoTarget(RETRY_AFTER)
         val limit = request.timeLeft?.let { minOf(route.timeout, it) } ?: route.timeout
         call.identify(
             DirectRequestContext(
@@ -78,26 +78,26 @@
                 service = service,
                 deadline = call.receivedAt + limit,
                 priority = customer?.priority ?: route.priority,
-                homes = listOf(route.homes, homesOf(customer)),
+                homes = listOf(route.homes, homeRegionsOf(customer)),
                 isLate = isLate(request, route),
             ),
         )
         return null
     }
 
-    /** A caller that goes on with a stream it has begun isn't late: the stream is. */
+    /** Returns whether the request exceeds its latency objective; a resumed stream has started already, so it does not count as late. */
     private fun isLate(
         request: DirectRequest,
         route: ServingRoute,
     ): Boolean = request.resumeAfter == null && request.timeLeft?.let { it < route.timeout - route.objective } ?: false
 
-    private fun homesOf(customer: ServingCustomer?) = customer?.homes.orEmpty()
+    private fun homeRegionsOf(customer: ServingCustomer?) = customer?.homes.orEmpty()
 
-    private fun pick(route: ServingRoute): ServiceId? {
-        var rest = random.nextDouble() * route.shares.sumOf { it.weight }
+    private fun pickService(route: ServingRoute): ServiceId? {
+        var remaining = random.nextDouble() * route.shares.sumOf { it.weight }
         for (share in route.shares) {
-            rest -= share.weight
-            if (rest < 0) return share.service
+            remaining -= share.weight
+            if (remaining < 0) return share.service
         }
         return route.shares.lastOrNull()?.service
     }
@@ -107,7 +107,7 @@
     private companion object {
         val RETRY_AFTER = 1.seconds
 
-        /** Long enough for one read of the store or of a peer. */
-        val CONFIRM_LIMIT = 400.milliseconds
+        /** Covers one read from the store or from a peer. */
+        val CONFIRMATION_TIMEOUT = 400.milliseconds
     }
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectMessages.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectMessages.kt
@@ -1,5 +1,5 @@
 /**
- * Requests and answers on the direct way from an entry daemon to a back end, free of any encoding.
+ * Requests and responses between callers, entry daemons and back ends in direct mode, independent of their encoding.
  */
 package lagoonrudder.traffic.direct
 
@@ -14,8 +14,8 @@
 import kotlin.time.Duration
 
 /**
- * A caller's request. [timeLeft] is what the caller still waits, [promptTokens] what it says of its prompt; [fields] are passed
- * on as they are.
+ * A caller's request. [timeLeft] is the time for which the caller still waits, [promptTokens] the length of the prompt as
+ * stated by the caller; [fields] are forwarded unchanged.
  */
 class DirectRequest(
     val request: RequestId,
@@ -30,7 +30,7 @@
     val body: ByteArray,
 )
 
-/** One attempt at [backEnd]. A back end that isn't that one, or holds another version than [number], must not run it. */
+/** One attempt at [backEnd]. A different back end, or one that holds another version than [number], must not run it. */
 class DirectAttempt(
     val caller: DirectRequest,
     val backEnd: BackEnd,
@@ -41,19 +41,19 @@
     val resumeAfter: EventId?,
 )
 
-/** Whether a back end worked on the request that it answers. */
+/** What a response proves about whether the back end ran the request. */
 enum class Execution {
-    /** The answer proves that the request did not run and will not run. */
+    /** The response proves that the request did not run and will not run. */
     NOT_RUN,
 
-    /** The answer is the back end's own and goes to the caller unchanged. */
+    /** The response was produced by the back end itself and is forwarded to the caller unchanged. */
     RUN,
 
-    /** The answer proves nothing and can't be passed on. */
+    /** The response proves nothing and must not be forwarded. */
     UNPROVEN,
 }
 
-/** The start of a back end's answer; [fields] are passed on as they are. */
+/** The head of a back end's response; [fields] are forwarded unchanged. */
 class ResponseHead(
     val status: Int,
     val fields: List<HeaderField>,
@@ -68,7 +68,7 @@
     }
 }
 
-/** What a back end sends, in this order: a head, bytes, an end. [Broken] may take the place of any of them. */
+/** The parts of a back end's response in their order: a head, bytes, an end. [Broken] may replace any of them. */
 sealed class ResponseEvent {
     class Head(
         val head: ResponseHead,
@@ -85,24 +85,24 @@
     ) : ResponseEvent()
 }
 
-/** An attempt that was sent. */
+/** An attempt that was sent and whose response is being read. */
 interface OpenAttempt {
     suspend fun next(): ResponseEvent
 
-    /** Stops the back end's work by closing the connection, unless the answer has ended. */
+    /** Cancels the request at the back end by closing the connection, unless the response is complete. */
     fun abandon()
 }
 
-/** Connections to back ends. */
+/** Sends requests to back ends. */
 interface BackEndClient {
-    /** Sends an attempt; a [Failure.Unreachable] means that nothing was sent. */
+    /** Sends an attempt; [Failure.Unreachable] means that nothing was sent. */
     suspend fun send(attempt: DirectAttempt): Either<Failure, OpenAttempt>
 
-    /** A connection to [backEnd] went silent, so the others that are kept may be dead as well. */
+    /** Discards the pooled connections to [backEnd] after one of them timed out, since the others may be dead as well. */
     fun discardIdleConnections(backEnd: BackEnd)
 }
 
-/** The caller's end of a request. */
+/** The response to a caller. */
 interface CallerResponse {
     suspend fun respond(
         head: ResponseHead,
@@ -111,7 +111,7 @@
 
     suspend fun begin(head: ResponseHead)
 
-    /** Sends bytes on; suspends while the caller does not read. */
+    /** Sends bytes to the caller; suspends while the caller does not read. */
     suspend fun write(bytes: ByteArray)
 
     suspend fun end()
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectRelay.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectRelay.kt
@@ -1,8 +1,9 @@
 /**
- * Passes a back end's answer on to the caller and knows how much of it the caller has.
+ * Forwards a back end's response to the caller and tracks how much of it was forwarded.
  *
- * An answer that isn't a stream is held back until it is whole or grows past a bound, so that a broken one can still be
- * replaced. Of a stream only whole events are passed on; the events of a second attempt must continue the first.
+ * A response that is not a stream is buffered until it is complete or exceeds a size limit, so that an incomplete one can
+ * still be replaced. Of a stream only complete events are forwarded; the events of a later attempt must continue the earlier
+ * ones.
  */
 package lagoonrudder.traffic.direct
 
@@ -16,136 +17,136 @@
     private val call: DirectCall,
     private val clock: Clock,
 ) {
-    private val answer = call.answer
+    private val response = call.response
     private var head: ResponseHead? = null
-    private var held = ByteArrayOutputStream(0)
+    private var buffered = ByteArrayOutputStream(0)
     private var splitter = EventSplitter()
-    private var passed = 0L
-    private var failureKept: Pair<ResponseHead, ByteArray>? = null
+    private var forwarded = 0L
+    private var errorResponse: Pair<ResponseHead, ByteArray>? = null
 
-    /** Whether the caller has got the start of an answer. */
-    var begun = false
+    /** Whether the start of a response was forwarded to the caller. */
+    var started = false
         private set
 
-    /** Whether the attempt that is under way has brought anything. */
-    var heard = false
+    /** Whether the current attempt has received anything from its back end. */
+    var receivedAny = false
         private set
 
-    /** The last event that was passed on. */
-    var last: EventId? = null
+    /** The last event that was forwarded. */
+    var lastEvent: EventId? = null
         private set
 
-    /** The version that made the events passed on so far; a resumed stream goes on with it. */
+    /** The version that produced the forwarded events; a resumed stream continues with the same one. */
     var number: WeightNumber? = null
         private set
 
-    val holdsFailure: Boolean get() = failureKept != null && !begun
+    val holdsErrorResponse: Boolean get() = errorResponse != null && !started
 
-    fun newAttempt() {
-        heard = false
+    fun startAttempt() {
+        receivedAny = false
         head = null
-        held = ByteArrayOutputStream(0)
+        buffered = ByteArrayOutputStream(0)
         splitter = EventSplitter()
     }
 
-    /** Takes one event of an attempt; returns how the attempt ended, or null while it goes on. */
-    suspend fun take(
+    /** Processes one event of an attempt; returns the result of the attempt, or null while it continues. */
+    suspend fun onEvent(
         event: ResponseEvent,
         kind: RequestKind,
-    ): DirectResult? {
-        heard = true
+    ): DirectAttemptResult? {
+        receivedAny = true
         return when (event) {
-            is ResponseEvent.Head -> takeHead(event.head)
-            is ResponseEvent.Bytes -> takeBytes(event.data, kind)
-            ResponseEvent.End -> takeEnd()
-            is ResponseEvent.Broken -> DirectResult.Lost(event.detail)
+            is ResponseEvent.Head -> onHead(event.head)
+            is ResponseEvent.Bytes -> onBytes(event.data, kind)
+            ResponseEvent.End -> onEnd()
+            is ResponseEvent.Broken -> DirectAttemptResult.Lost(event.detail)
         }
     }
 
-    /** Passes the failure of a back end on and returns its length. */
-    suspend fun passFailure(): Long {
-        val (head, body) = checkNotNull(failureKept)
-        answer.respond(head, body)
+    /** Forwards the error response of a back end and returns its length. */
+    suspend fun forwardErrorResponse(): Long {
+        val (head, body) = checkNotNull(errorResponse)
+        response.respond(head, body)
         return body.size.toLong()
     }
 
-    private fun takeHead(next: ResponseHead): DirectResult? {
+    private fun onHead(next: ResponseHead): DirectAttemptResult? {
         head = next
         return when (next.execution) {
-            Execution.NOT_RUN -> DirectResult.NotRun(reached = true, "status ${next.status}")
-            Execution.UNPROVEN -> DirectResult.Lost("status ${next.status} without proof of its origin")
-            Execution.RUN -> if (begun && !next.isSuccess) DirectResult.Lost("status ${next.status} on resuming") else null
+            Execution.NOT_RUN -> DirectAttemptResult.NotRun(reached = true, "status ${next.status}")
+            Execution.UNPROVEN -> DirectAttemptResult.Lost("status ${next.status} without proof of execution")
+            Execution.RUN -> if (started && !next.isSuccess) DirectAttemptResult.Lost("status ${next.status} on resume") else null
         }
     }
 
-    private suspend fun takeBytes(
+    private suspend fun onBytes(
         data: ByteArray,
         kind: RequestKind,
-    ): DirectResult? {
-        val current = head ?: return DirectResult.Lost("bytes before a head")
-        if (kind is RequestKind.Stream && current.isSuccess) return takeEvents(data, current)
-        if (begun) {
-            pass(data)
+    ): DirectAttemptResult? {
+        val current = head ?: return DirectAttemptResult.Lost("body before the response head")
+        if (kind is RequestKind.Stream && current.isSuccess) return onStreamBytes(data, current)
+        if (started) {
+            forward(data)
             return null
         }
-        held.write(data)
-        if (held.size() > HOLD_BACK_BYTES) {
-            begin(current)
-            pass(held.toByteArray())
-            held = ByteArrayOutputStream(0)
+        buffered.write(data)
+        if (buffered.size() > MAX_BUFFERED_BYTES) {
+            startResponse(current)
+            forward(buffered.toByteArray())
+            buffered = ByteArrayOutputStream(0)
         }
         return null
     }
 
-    private suspend fun takeEvents(
+    private suspend fun onStreamBytes(
         data: ByteArray,
         current: ResponseHead,
-    ): DirectResult? {
-        for (event in splitter.take(data)) {
+    ): DirectAttemptResult? {
+        for (event in splitter.feed(data)) {
             val id = event.id
-            val before = last
+            val before = lastEvent
             if (id != null && before != null && id <= before) continue
             if (id != null &&
                 before != null &&
                 id.number != before.number + 1
             ) {
-                return DirectResult.Lost("event ${id.number} after ${before.number}")
+                return DirectAttemptResult.Lost("gap in the stream: event ${id.number} after event ${before.number}")
             }
-            if (!begun) begin(current.copyWithoutLength())
+            if (!started) startResponse(current.withoutLength())
             number = current.number ?: number
-            pass(event.bytes)
-            if (id != null) last = id
+            forward(event.bytes)
+            if (id != null) lastEvent = id
         }
-        return if (splitter.overflowed) DirectResult.Lost("an event without an end") else null
+        return if (splitter.overflowed) DirectAttemptResult.Lost("unterminated event exceeds the size limit") else null
     }
 
-    private suspend fun takeEnd(): DirectResult {
-        val current = head ?: return DirectResult.Lost("an end before a head")
-        if (splitter.midEvent) return DirectResult.Lost("the stream ended inside an event")
-        if (!current.isSuccess && !begun) {
-            failureKept = current to held.toByteArray()
-            if (current.status >= SERVER_FAILURE) return DirectResult.Failed(current.status)
-            return DirectResult.Completed(passFailure())
+    private suspend fun onEnd(): DirectAttemptResult {
+        val current = head ?: return DirectAttemptResult.Lost("end of the response before its head")
+        if (splitter.hasPartialEvent) return DirectAttemptResult.Lost("stream ended inside an event")
+        if (!current.isSuccess && !started) {
+            errorResponse = current to buffered.toByteArray()
+            if (current.status >= FIRST_SERVER_ERROR) return DirectAttemptResult.Failed(current.status)
+            return DirectAttemptResult.Completed(forwardErrorResponse())
         }
-        if (begun) answer.end() else answer.respond(current, held.toByteArray())
-        return DirectResult.Completed(passed + held.size())
+        if (started) response.end() else response.respond(current, buffered.toByteArray())
+        return DirectAttemptResult.Completed(forwarded + buffered.size())
     }
 
-    private suspend fun begin(head: ResponseHead) {
-        begun = true
+    private suspend fun startResponse(head: ResponseHead) {
+        started = true
         call.timeToFirstEvent = clock.elapsed() - call.receivedAt
-        answer.begin(head)
+        response.begin(head)
     }
 
-    private suspend fun pass(data: ByteArray) {
-        passed += data.size
-        answer.write(data)
+    private suspend fun forward(data: ByteArray) {
+        forwarded += data.size
+        response.write(data)
     }
 
-    private fun ResponseHead.copyWithoutLength() = ResponseHead(status, fields, null, execution, number)
+    private fun ResponseHead.withoutLength() = ResponseHead(status, fields, null, execution, number)
 
     private companion object {
-        const val HOLD_BACK_BYTES = 65_536
-        const val SERVER_FAILURE = 500
+        const val MAX_BUFFERED_BYTES = 65_536
+        const val FIRST_SERVER_ERROR = 500
     }
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectSendFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectSendFilter.kt
@@ -1,9 +1,10 @@
 /**
- * Sends a request to a back end, again where that is safe, until it has an answer or a truthful end.
+ * Sends a request to a back end and retries where that is safe, until it has a response or a definite outcome.
  *
- * A request that may run at most once is sent again only after a proof that it did not run: a connection that never opened
- * or an answer that says so. Anything else ends as unknown. A stream that may resume goes on after its last whole event
- * within the same answer. Every repeat that may reach a back end draws on the budget that all entry daemons share.
+ * A request that may run at most once is retried only after proof that it did not run: a connection that was never opened or
+ * a response that says so. Any other failure ends with an unknown outcome. A resumable stream continues after its last
+ * complete event within the same response. Every retry that may reach a back end counts towards the retry budget that all
+ * entry daemons share.
  */
 package lagoonrudder.traffic.direct
 
@@ -33,63 +34,63 @@
 import lagoonrudder.traffic.Next as NextFilter
 
 /**
- * [maxWait] is the part of a route's objective that a request may wait for a place, [resume] how long a stream that has
- * begun may; [firstEvent] and [nextEvent] bound the silence of a back end whose request may go elsewhere; [refusals] bounds
- * the back ends that may turn one request away.
+ * Limits of one request. [maxWait] is the fraction of a route's latency objective that a request may spend in the queue, and
+ * [resume] is the time that a started stream may spend there. [firstEvent] and [nextEvent] are the timeouts for events of a
+ * back end whose request may be retried elsewhere. [rejections] is the maximum number of back ends that may reject one request.
  */
 data class DirectLimits(
     val maxWait: Double = 0.1,
     val firstEvent: Duration = 1_200.milliseconds,
     val nextEvent: Duration = 1_000.milliseconds,
     val resume: Duration = 800.milliseconds,
-    val refusals: Int = 4,
+    val rejections: Int = 4,
     val retryAfter: Duration = 1.seconds,
 )
 
 class DirectSendFilter(
     private val control: DirectControl,
-    private val link: BackEndClient,
+    private val client: BackEndClient,
     private val limits: DirectLimits,
 ) : Filter<DirectCall> {
     override suspend fun handle(
         call: DirectCall,
         next: NextFilter<DirectCall>,
-    ): Outcome = DirectSending(call, control, link, limits).run()
+    ): Outcome = DirectSendOperation(call, control, client, limits).run()
 }
 
-/** How one attempt ended. */
-internal sealed class DirectResult {
+/** The result of one attempt. */
+internal sealed class DirectAttemptResult {
     data class Completed(
         val length: Long,
-    ) : DirectResult()
+    ) : DirectAttemptResult()
 
-    /** The request did not run there. [reached] tells whether it arrived. */
+    /** The request did not run at the back end. [reached] is set if it arrived there. */
     data class NotRun(
         val reached: Boolean,
         val detail: String,
-    ) : DirectResult()
+    ) : DirectAttemptResult()
 
-    /** The request may have run there, and no answer can be passed on. */
+    /** The request may have run at the back end, but there is no response to forward. */
     data class Lost(
         val detail: String,
-        val silent: Boolean = false,
-    ) : DirectResult()
+        val timedOut: Boolean = false,
+    ) : DirectAttemptResult()
 
-    /** The caller's or the route's time ended; [silent] when the back end had sent nothing at all. */
+    /** The deadline of the caller or the route expired; [timedOut] is set if the back end had sent nothing at all. */
     data class OutOfTime(
-        val silent: Boolean,
-    ) : DirectResult()
+        val timedOut: Boolean,
+    ) : DirectAttemptResult()
 
-    /** The back end ran the request and failed it; [relay] holds that answer. */
+    /** The back end ran the request and it failed; [DirectRelay] holds the error response. */
     data class Failed(
         val status: Int,
-    ) : DirectResult()
+    ) : DirectAttemptResult()
 }
 
-private class DirectSending(
+private class DirectSendOperation(
     private val call: DirectCall,
     private val control: DirectControl,
-    private val link: BackEndClient,
+    private val client: BackEndClient,
     private val limits: DirectLimits,
 ) {
     private val context = call.context
@@ -97,14 +98,14 @@
     private val relay = DirectRelay(call, control.clock)
     private val excluded = mutableSetOf<TargetId>()
     private var runs = 0
-    private var refusals = 0
-    private var mayHaveRun: DirectResult.Lost? = null
+    private var rejections = 0
+    private var mayHaveRun: DirectAttemptResult.Lost? = null
     private var number: WeightNumber? = null
 
     suspend fun run(): Outcome {
-        control.thread.decide { control.repeats.recordRequest(context.service, control.clock.elapsed()) }
-        // Waits within an attempt end by themselves; this limit is for a caller that does not read.
-        return withTimeoutOrNull(context.timeLeft(control.clock) + SLOW_READER_MARGIN) { attempts() } ?: outOfTime()
+        control.thread.decide { control.retryBudget.recordRequest(context.service, control.clock.elapsed()) }
+        // Waits within an attempt have timeouts of their own; this one is for a caller that does not read.
+        return withTimeoutOrNull(context.timeLeft(control.clock) + SLOW_READER_MARGIN) { attempts() } ?: onDeadline()
     }
 
     private suspend fun attempts(): Outcome {
@@ -112,30 +113,30 @@
             val backEnd =
                 when (val placement = place()) {
                     is Placement.Placed -> placement.backEnd.also { number = placement.number }
-                    is Placement.Refused -> return nowhere(placement)
+                    is Placement.Refused -> return refusedOutcome(placement)
                 }
-            val result = counted(backEnd) { attempt(backEnd) }
+            val result = recorded(backEnd) { attempt(backEnd) }
             call.attempts += AttemptRecord(backEnd.id, describe(result))
             excluded += backEnd.id
             val outcome =
                 when (result) {
-                    is DirectResult.Completed -> return Outcome.Completed(result.length, null)
-                    is DirectResult.NotRun -> afterNotRun(result)
-                    is DirectResult.Lost -> afterLoss(result)
-                    is DirectResult.OutOfTime -> return outOfTime()
-                    is DirectResult.Failed -> afterFailure(result)
+                    is DirectAttemptResult.Completed -> return Outcome.Completed(result.length, null)
+                    is DirectAttemptResult.NotRun -> onNotRun(result)
+                    is DirectAttemptResult.Lost -> onLost(result)
+                    is DirectAttemptResult.OutOfTime -> return onDeadline()
+                    is DirectAttemptResult.Failed -> onFailed(result)
                 }
             if (outcome != null) return outcome
         }
     }
 
     private suspend fun place(): Placement {
-        val asked = control.clock.elapsed()
+        val startedAt = control.clock.elapsed()
         val timeLeft = context.timeLeft(control.clock)
         if (timeLeft <= Duration.ZERO) return Placement.Refused(Refusal.TooLate(limits.retryAfter), "time is over")
         val maxWait = minOf(maxWait(), timeLeft)
-        val priority = if (relay.begun) FIRST else context.priority
-        val need =
+        val priority = if (relay.started) RESUME_PRIORITY else context.priority
+        val request =
             PlacementRequest(
                 service = context.service,
                 customer = context.customer?.id,
@@ -148,53 +149,55 @@
             )
         val decision =
             withContext(NonCancellable) {
-                control.thread.decide { control.placement.place(need, maxWait, control.clock.elapsed()) }
+                control.thread.decide { control.placement.place(request, maxWait, control.clock.elapsed()) }
             }
-        var taken = false
+        var received = false
         try {
             val placement =
                 withTimeoutOrNull(maxWait) { decision.await() } ?: run {
                     control.thread.decide { control.placement.onWaitTimeout(decision, control.clock.elapsed()) }
                     decision.await()
                 }
-            return placement.also { taken = true }
+            return placement.also { received = true }
         } finally {
-            call.queueTime += control.clock.elapsed() - asked
-            if (!taken) withContext(NonCancellable) { control.thread.decide { giveBack(decision) } }
+            call.queueTime += control.clock.elapsed() - startedAt
+            if (!received) withContext(NonCancellable) { control.thread.decide { releasePlacement(decision) } }
         }
     }
 
     private fun maxWait(): Duration =
         when {
-            relay.begun -> limits.resume
+            relay.started -> limits.resume
             call.attempts.isEmpty() -> context.route.objective * limits.maxWait
-            else -> REPEAT_PATIENCE
+            else -> RETRY_MAX_WAIT
         }
 
-    /** Frees the place of a request whose coroutine ended while it waited; runs on the control thread. */
+    /** Releases the slot of a request whose coroutine was cancelled while it waited; runs on the control thread. */
     @OptIn(ExperimentalCoroutinesApi::class)
-    private fun giveBack(decision: CompletableDeferred<Placement>) {
+    private fun releasePlacement(decision: CompletableDeferred<Placement>) {
         if (!decision.isCompleted) return control.placement.cancelWaiting(decision)
         val placed = decision.getCompleted() as? Placement.Placed ?: return
         control.placement.onAttemptEnded(placed.backEnd.id, context.customer?.id, AttemptOutcome.ABANDONED, control.clock.elapsed())
     }
 
-    /** Runs one attempt and tells the controllers how the back end did. */
-    private suspend fun counted(
+    /** Runs one attempt and reports its outcome to the controllers. */
+    private suspend fun recorded(
         backEnd: BackEnd,
-        attempt: suspend () -> DirectResult,
-    ): DirectResult {
-        var end = AttemptOutcome.ABANDONED
+        attempt: suspend () -> DirectAttemptResult,
+    ): DirectAttemptResult {
+        var outcome = AttemptOutcome.ABANDONED
         try {
-            return attempt().also { end = endOf(it) }
+            return attempt().also { outcome = attemptOutcomeOf(it) }
         } finally {
             withContext(NonCancellable) {
-                control.thread.decide { control.placement.onAttemptEnded(backEnd.id, context.customer?.id, end, control.clock.elapsed()) }
+                control.thread.decide {
+                    control.placement.onAttemptEnded(backEnd.id, context.customer?.id, outcome, control.clock.elapsed())
+                }
             }
         }
     }
 
-    private suspend fun attempt(backEnd: BackEnd): DirectResult {
+    private suspend fun attempt(backEnd: BackEnd): DirectAttemptResult {
         val attempt =
             DirectAttempt(
                 caller = call.request,
@@ -203,9 +206,9 @@
                 priority = context.priority,
                 timeLeft = context.timeLeft(control.clock),
                 number = number,
-                resumeAfter = relay.last ?: call.request.resumeAfter,
+                resumeAfter = relay.lastEvent ?: call.request.resumeAfter,
             )
-        val open = link.send(attempt).getOrElse { return DirectResult.NotRun(reached = false, it.describe()) }
+        val open = client.send(attempt).getOrElse { return DirectAttemptResult.NotRun(reached = false, it.describe()) }
         try {
             return receive(open, backEnd)
         } finally {
@@ -216,91 +219,91 @@
     private suspend fun receive(
         open: OpenAttempt,
         backEnd: BackEnd,
-    ): DirectResult {
-        relay.newAttempt()
+    ): DirectAttemptResult {
+        relay.startAttempt()
         while (true) {
             val result =
-                when (val next = nextOf(open)) {
-                    is Next.Event -> relay.take(next.event, kind)
-                    Next.Silence -> silent(backEnd)
-                    Next.OutOfTime -> DirectResult.OutOfTime(silent = !relay.heard)
+                when (val next = awaitEvent(open)) {
+                    is Next.Event -> relay.onEvent(next.event, kind)
+                    Next.Timeout -> timedOut(backEnd)
+                    Next.OutOfTime -> DirectAttemptResult.OutOfTime(timedOut = !relay.receivedAny)
                 }
             if (result != null) return result
         }
     }
 
-    /** What the wait for the next event brought. */
+    /** The result of waiting for the next event. */
     private sealed class Next {
         class Event(
             val event: ResponseEvent,
         ) : Next()
 
-        /** The back end was silent for too long, and another one may be tried. */
-        data object Silence : Next()
+        /** The back end sent no event in time, and another one may be tried. */
+        data object Timeout : Next()
 
         data object OutOfTime : Next()
     }
 
-    private suspend fun nextOf(open: OpenAttempt): Next {
-        val mayMove = kind.repeatable && runs + 1 < context.route.attempts
-        val limit = if (relay.begun) limits.nextEvent else limits.firstEvent
-        if (mayMove && limit < context.timeLeft(control.clock)) {
+    private suspend fun awaitEvent(open: OpenAttempt): Next {
+        val mayRetry = kind.repeatable && runs + 1 < context.route.attempts
+        val limit = if (relay.started) limits.nextEvent else limits.firstEvent
+        if (mayRetry && limit < context.timeLeft(control.clock)) {
             withTimeoutOrNull(limit) { open.next() }?.let { return Next.Event(it) }
-            if (spend()) return Next.Silence
+            if (takeRetry()) return Next.Timeout
         }
         val event = withTimeoutOrNull(context.timeLeft(control.clock)) { open.next() }
         return if (event == null) Next.OutOfTime else Next.Event(event)
     }
 
-    private fun silent(backEnd: BackEnd): DirectResult {
-        link.discardIdleConnections(backEnd)
-        return DirectResult.Lost("silent", silent = true)
+    private fun timedOut(backEnd: BackEnd): DirectAttemptResult {
+        client.discardIdleConnections(backEnd)
+        return DirectAttemptResult.Lost("silent", timedOut = true)
     }
 
-    private suspend fun afterNotRun(result: DirectResult.NotRun): Outcome? {
-        refusals++
-        val again = refusals <= limits.refusals && (!result.reached || spend())
-        return if (again) null else ended(result.detail)
+    private suspend fun onNotRun(result: DirectAttemptResult.NotRun): Outcome? {
+        rejections++
+        val retry = rejections <= limits.rejections && (!result.reached || takeRetry())
+        return if (retry) null else finalOutcome(result.detail)
     }
 
-    private suspend fun afterLoss(result: DirectResult.Lost): Outcome? {
+    private suspend fun onLost(result: DirectAttemptResult.Lost): Outcome? {
         runs++
         mayHaveRun = result
-        val again = kind.repeatable && runs < context.route.attempts && (result.silent || spend())
-        return if (again) null else ended(result.detail)
+        val retry = kind.repeatable && runs < context.route.attempts && (result.timedOut || takeRetry())
+        return if (retry) null else finalOutcome(result.detail)
     }
 
-    private suspend fun afterFailure(result: DirectResult.Failed): Outcome? {
+    private suspend fun onFailed(result: DirectAttemptResult.Failed): Outcome? {
         runs++
-        val again = kind is RequestKind.Idempotent && runs < context.route.attempts && spend()
-        if (again) return null
-        return Outcome.Completed(relay.passFailure(), null).also { call.lastFailure = failure("status ${result.status}") }
+        val retry = kind is RequestKind.Idempotent && runs < context.route.attempts && takeRetry()
+        if (retry) return null
+        return Outcome.Completed(relay.forwardErrorResponse(), null).also { call.lastFailure = failure("status ${result.status}") }
     }
 
-    private suspend fun spend(): Boolean =
+    private suspend fun takeRetry(): Boolean =
         control.thread.decide {
-            control.repeats.spend(context.service, control.peers.entryCount(control.clock.elapsed()), control.clock.elapsed())
+            control.retryBudget.spend(context.service, control.peers.entryCount(control.clock.elapsed()), control.clock.elapsed())
         }
 
-    private suspend fun nowhere(placement: Placement.Refused): Outcome {
-        if (relay.holdsFailure) return Outcome.Completed(relay.passFailure(), null)
-        if (relay.begun || mayHaveRun != null) return ended(placement.reason)
+    private suspend fun refusedOutcome(placement: Placement.Refused): Outcome {
+        if (relay.holdsErrorResponse) return Outcome.Completed(relay.forwardErrorResponse(), null)
+        if (relay.started || mayHaveRun != null) return finalOutcome(placement.reason)
         call.lastFailure = failure(placement.reason)
         return Outcome.Refused(placement.refusal, Step.CHOOSE_TARGET, Peer.SELF)
     }
 
-    private suspend fun outOfTime(): Outcome {
-        if (relay.holdsFailure) return Outcome.Completed(relay.passFailure(), null)
-        mayHaveRun = mayHaveRun ?: DirectResult.Lost("time is over")
-        return ended("time is over")
+    private suspend fun onDeadline(): Outcome {
+        if (relay.holdsErrorResponse) return Outcome.Completed(relay.forwardErrorResponse(), null)
+        mayHaveRun = mayHaveRun ?: DirectAttemptResult.Lost("time is over")
+        return finalOutcome("time is over")
     }
 
-    /** The truthful end of a request that gets no answer from a back end. */
-    private fun ended(detail: String): Outcome {
+    /** Returns the outcome of a request that gets no response from a back end, by whether it may have run. */
+    private fun finalOutcome(detail: String): Outcome {
         val failure = failure(detail)
         call.lastFailure = failure
         return when {
-            relay.begun -> Outcome.Broken(failure)
+            relay.started -> Outcome.Broken(failure)
             mayHaveRun != null -> Outcome.Unknown(failure)
             else -> Outcome.Refused(Refusal.NoTarget(limits.retryAfter), Step.SEND, failure.peer)
         }
@@ -319,30 +322,30 @@
             detail,
         )
 
-    private fun endOf(result: DirectResult): AttemptOutcome =
+    private fun attemptOutcomeOf(result: DirectAttemptResult): AttemptOutcome =
         when (result) {
-            is DirectResult.Completed -> AttemptOutcome.ANSWERED
-            is DirectResult.NotRun -> if (result.reached) AttemptOutcome.NOT_RUN else AttemptOutcome.UNREACHABLE
-            is DirectResult.Lost -> if (result.silent) AttemptOutcome.TIMED_OUT else AttemptOutcome.FAILED
-            is DirectResult.OutOfTime -> if (result.silent) AttemptOutcome.TIMED_OUT else AttemptOutcome.ABANDONED
-            is DirectResult.Failed -> AttemptOutcome.FAILED
+            is DirectAttemptResult.Completed -> AttemptOutcome.ANSWERED
+            is DirectAttemptResult.NotRun -> if (result.reached) AttemptOutcome.NOT_RUN else AttemptOutcome.UNREACHABLE
+            is DirectAttemptResult.Lost -> if (result.timedOut) AttemptOutcome.TIMED_OUT else AttemptOutcome.FAILED
+            is DirectAttemptResult.OutOfTime -> if (result.timedOut) AttemptOutcome.TIMED_OUT else AttemptOutcome.ABANDONED
+            is DirectAttemptResult.Failed -> AttemptOutcome.FAILED
         }
 
-    private fun describe(result: DirectResult): String =
+    private fun describe(result: DirectAttemptResult): String =
         when (result) {
-            is DirectResult.Completed -> "answered"
-            is DirectResult.NotRun -> "not-run:${result.detail}"
-            is DirectResult.Lost -> "lost:${result.detail}"
-            is DirectResult.OutOfTime -> "out-of-time"
-            is DirectResult.Failed -> "failed:${result.status}"
+            is DirectAttemptResult.Completed -> "answered"
+            is DirectAttemptResult.NotRun -> "not-run:${result.detail}"
+            is DirectAttemptResult.Lost -> "lost:${result.detail}"
+            is DirectAttemptResult.OutOfTime -> "out-of-time"
+            is DirectAttemptResult.Failed -> "failed:${result.status}"
         }
 
     private companion object {
-        /** A stream that has begun goes before requests of every priority. */
-        const val FIRST = -1
+        /** A stream that has started precedes requests of every priority. */
+        const val RESUME_PRIORITY = -1
 
-        /** A repeat has lost time already; it takes a free place or none. */
-        val REPEAT_PATIENCE = 60.milliseconds
+        /** A retry is already delayed, so it takes a free slot within this time or none. */
+        val RETRY_MAX_WAIT = 60.milliseconds
         val SLOW_READER_MARGIN = 200.milliseconds
     }
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/EventSplitter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/EventSplitter.kt
@@ -1,11 +1,11 @@
 /**
- * Splits a stream of server-sent events into whole events, whatever pieces it arrives in.
+ * Splits a stream of server-sent events into complete events, however its bytes are fragmented.
  */
 package lagoonrudder.traffic.direct
 
 import lagoonrudder.model.EventId
 
-/** One event with the blank line that ends it. [id] is null when the event names none. */
+/** One event including the blank line that terminates it. [id] is null if the event has no `id` field. */
 class StreamEvent(
     val bytes: ByteArray,
     val id: EventId?,
@@ -14,14 +14,14 @@
 class EventSplitter {
     private var pending = ByteArray(0)
 
-    /** Whether part of an event has arrived and its end has not. */
-    val midEvent: Boolean get() = pending.isNotEmpty()
+    /** Whether an incomplete event is buffered. */
+    val hasPartialEvent: Boolean get() = pending.isNotEmpty()
 
-    /** Whether an event has grown so long without an end that it is none. */
-    val overflowed: Boolean get() = pending.size > LONGEST_EVENT_BYTES
+    /** Whether the incomplete event exceeds the size limit of an event. */
+    val overflowed: Boolean get() = pending.size > MAX_EVENT_BYTES
 
-    /** The events that [data] completes. */
-    fun take(data: ByteArray): List<StreamEvent> {
+    /** Appends [data] and returns the events that it completes. */
+    fun feed(data: ByteArray): List<StreamEvent> {
         val all = if (pending.isEmpty()) data else pending + data
         val events = mutableListOf<StreamEvent>()
         var start = 0
@@ -36,7 +36,7 @@
         return events
     }
 
-    /** The position after the blank line that ends the event at [start], or -1. */
+    /** Returns the position after the blank line that terminates the event at [start], or -1. */
     private fun endOfEvent(
         bytes: ByteArray,
         start: Int,
@@ -66,7 +66,7 @@
         const val CARRIAGE_RETURN = '\r'.code.toByte()
         const val ID_FIELD = "id:"
 
-        /** An event holds a few tokens; this is far more than any. */
-        const val LONGEST_EVENT_BYTES = 262_144
+        /** An event holds a few tokens, so this is far above the size of any valid one. */
+        const val MAX_EVENT_BYTES = 262_144
     }
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AccountingFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AccountingFilter.kt
@@ -1,5 +1,5 @@
 /**
- * Counts a request while it is in hand and reports how it ended.
+ * Counts a request while it is in flight and reports its outcome.
  */
 package lagoonrudder.traffic.entry
 
@@ -11,7 +11,7 @@
 import lagoonrudder.traffic.Next
 import kotlin.time.Duration
 
-/** Receives the end of each request; called from traffic threads. */
+/** Receives the outcome of each request; called on traffic threads. */
 fun interface EntryListener {
     fun ended(
         call: EntryCall,
@@ -40,7 +40,7 @@
     }
 }
 
-/** The filters of an entry daemon in their order. */
+/** Returns the filters of an entry daemon in their order. */
 fun entryFilters(
     account: AccountingFilter,
     identify: IdentifyFilter,
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AdmissionFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AdmissionFilter.kt
@@ -1,5 +1,5 @@
 /**
- * Lets a request wait for its turn and for a target with room.
+ * Queues a request until it is dispatched to a target with free capacity, or refuses it.
  */
 package lagoonrudder.traffic.entry
 
@@ -34,19 +34,19 @@
     ): Outcome {
         val context = call.context
         val key = context.key.takeUnless { context.route.idempotent }
-        val owner = key?.let { ownerFor(context, it) }
+        val owner = key?.let { keyOwnerOf(context, it) }
         if (key != null && owner == null) return Outcome.Refused(Refusal.NoTarget(RETRY), Step.CHOOSE_TARGET, Peer.SELF)
         call.ticket = ticketFor(context, owner)
-        return when (val turn = awaitTurn(control, call.ticket) { enter(it) }) {
-            is Dispatched.Refused -> Outcome.Refused(turn.refusal, Step.ADMIT, Peer.SELF)
+        return when (val dispatched = awaitDispatch(control, call.ticket) { enter(it) }) {
+            is Dispatched.Refused -> Outcome.Refused(dispatched.refusal, Step.ADMIT, Peer.SELF)
             is Dispatched.Go -> {
-                call.choice = turn
+                call.choice = dispatched
                 next.proceed(call)
             }
         }
     }
 
-    private suspend fun ownerFor(
+    private suspend fun keyOwnerOf(
         context: RequestContext,
         key: RepeatKey,
     ): TargetId? {
@@ -86,22 +86,22 @@
     }
 }
 
-/** Waits until the request of [ticket] may go or is refused; a caller that goes away leaves the line. */
-internal suspend fun awaitTurn(
+/** Suspends until the request of [ticket] is dispatched or refused; cancellation removes it from its queue. */
+internal suspend fun awaitDispatch(
     control: EntryControl,
     ticket: Ticket,
     join: EntryControl.(Ticket) -> Deferred<Dispatched>,
 ): Dispatched {
-    var turn: Dispatched? = null
-    val sleeper = control.thread.decide { control.join(ticket) }
+    var dispatched: Dispatched? = null
+    val pending = control.thread.decide { control.join(ticket) }
     try {
-        return sleeper.await().also { turn = it }
+        return pending.await().also { dispatched = it }
     } finally {
-        if (turn == null) {
+        if (dispatched == null) {
             withContext(NonCancellable) {
                 control.thread.decide {
-                    val granted = if (sleeper.isCompleted) sleeper.getCompletedOrNull() else null
-                    if (granted is Dispatched.Go) control.ended(ticket, granted.target, failed = false) else control.leave(ticket)
+                    val completed = if (pending.isCompleted) pending.getCompletedOrNull() else null
+                    if (completed is Dispatched.Go) control.ended(ticket, completed.target, failed = false) else control.leave(ticket)
                 }
             }
         }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryCall.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryCall.kt
@@ -1,5 +1,5 @@
 /**
- * A caller's request on its way through the filters of an entry daemon.
+ * A caller's request in the filter chain of an entry daemon.
  */
 package lagoonrudder.traffic.entry
 
@@ -15,7 +15,7 @@
 import lagoonrudder.traffic.Work
 import kotlin.time.Duration
 
-/** What arrived from the caller. */
+/** A request as received from the caller. */
 class CallerRequest(
     val method: String,
     val path: String,
@@ -25,9 +25,9 @@
     val body: ByteArray,
 )
 
-/** The way back to the caller. Every function suspends until the caller has taken what was given. */
+/** The response to the caller. Every function suspends until the caller has read what was written. */
 interface ResponseSink {
-    /** Starts an answer; called once, before any bytes. */
+    /** Starts a response; called once, before any bytes. */
     suspend fun start(
         status: Int,
         contentType: String,
@@ -36,17 +36,17 @@
 
     suspend fun write(data: ByteArray)
 
-    /** Marks the answer as whole. */
+    /** Marks the response as complete. */
     suspend fun finish(
         length: Long,
         checksum: Long,
     )
 
-    /** Breaks the connection so that the caller can't take the answer for whole. */
+    /** Aborts the connection so that the caller can't mistake the response for a complete one. */
     suspend fun abort(failure: Failure)
 }
 
-/** What the system knows of a request once it is identified. */
+/** The route, customer, limits and work of a request, as resolved by [IdentifyFilter]. */
 data class RequestContext(
     val request: RequestId,
     val route: OperatorObject.Route,
@@ -60,7 +60,7 @@
     val bytes: Long,
 )
 
-/** A place in the line and what the request needs. */
+/** A request's queue entry and its requirements on a target. */
 data class Ticket(
     val waiting: Waiting,
     val need: Need,
@@ -73,7 +73,7 @@
 ) {
     lateinit var context: RequestContext
 
-    /** The identity, or null while the request is not identified. */
+    /** Returns the request context, or null before the identify filter has set it. */
     fun contextOrNull(): RequestContext? = if (::context.isInitialized) context else null
 
     lateinit var ticket: Ticket
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryControl.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryControl.kt
@@ -1,7 +1,7 @@
 /**
- * The controllers of an entry daemon, and the waiting requests that their decisions wake.
+ * The controllers of an entry daemon and the queued requests that are resumed by their decisions.
  *
- * Everything here runs on the control thread; filters call it through [ControlThread.decide].
+ * All functions run on the control thread; filters call them through [ControlThread.decide].
  */
 package lagoonrudder.traffic.entry
 
@@ -44,33 +44,33 @@
 ) {
     private val dispatch = DispatchController(admission, routing)
     private val relays = mutableMapOf<RequestId, ResponseRelay>()
-    private val sleepers = mutableMapOf<RequestId, CompletableDeferred<Dispatched>>()
+    private val pendingDispatches = mutableMapOf<RequestId, CompletableDeferred<Dispatched>>()
 
-    /** Lets a request wait; the result is completed when it may go or is refused. */
+    /** Queues a request; the result completes when the request is dispatched or refused. */
     fun enter(ticket: Ticket): CompletableDeferred<Dispatched> {
         val now = clock.elapsed()
-        val sleeper = CompletableDeferred<Dispatched>()
+        val pending = CompletableDeferred<Dispatched>()
         when (val decision = dispatch.enter(ticket.waiting, ticket.need, now)) {
-            is QueueDecision.Refused -> sleeper.complete(Dispatched.Refused(ticket.waiting.id, decision.refusal))
+            is QueueDecision.Refused -> pending.complete(Dispatched.Refused(ticket.waiting.id, decision.refusal))
             QueueDecision.Queued -> {
-                sleepers[ticket.waiting.id] = sleeper
+                pendingDispatches[ticket.waiting.id] = pending
                 pump()
             }
         }
-        return sleeper
+        return pending
     }
 
-    /** Lets a request that did not get its answer wait again. */
+    /** Queues a request again whose attempt produced no response. */
     fun reenter(ticket: Ticket): CompletableDeferred<Dispatched> {
-        val sleeper = CompletableDeferred<Dispatched>()
-        sleepers[ticket.waiting.id] = sleeper
+        val pending = CompletableDeferred<Dispatched>()
+        pendingDispatches[ticket.waiting.id] = pending
         dispatch.reenter(ticket.waiting, ticket.need, clock.elapsed())
         pump()
-        return sleeper
+        return pending
     }
 
     fun leave(ticket: Ticket) {
-        sleepers.remove(ticket.waiting.id)
+        pendingDispatches.remove(ticket.waiting.id)
         dispatch.leave(ticket.waiting)
     }
 
@@ -93,7 +93,7 @@
         pump()
     }
 
-    /** An answer carried back what room its target has. */
+    /** Handles the load of a target that arrived with a response. */
     fun roomSeen(
         target: TargetId,
         room: Room,
@@ -109,7 +109,7 @@
         pump()
     }
 
-    /** A new set is in force, or the list of instances changed. */
+    /** Handles a new active configuration or a change in the list of instances. */
     fun configured() {
         val entries = membership.instances().count { it.role == DaemonRole.ENTRY && it.domain == domain && !it.leaving }
         routing.configure(configuration.current.objects, entries)
@@ -117,10 +117,10 @@
     }
 
     fun pump() {
-        for (dispatched in dispatch.pump(clock.elapsed())) sleepers.remove(dispatched.request)?.complete(dispatched)
+        for (dispatched in dispatch.pump(clock.elapsed())) pendingDispatches.remove(dispatched.request)?.complete(dispatched)
     }
 
-    /** Opens the memory of an answer; false when the budget has no room for it. */
+    /** Reserves the buffer of a response; returns false if the memory budget does not allow it. */
     fun open(
         request: RequestId,
         relay: ResponseRelay,
@@ -135,7 +135,7 @@
         readers.close(request)
     }
 
-    /** Notes the regular tick; returns whether the process was paused, in which case its configuration must be confirmed. */
+    /** Handles the periodic tick; returns whether the process was paused, in which case its configuration must be confirmed. */
     fun wasPaused(limit: Duration): Boolean {
         val now = clock.elapsed()
         val paused = service.tick(now)
@@ -143,7 +143,7 @@
         return paused
     }
 
-    /** Time has passed: late requests are refused and a stalled answer may have to give up its back end. */
+    /** Handles the passage of time: refuses requests past their deadline and may park one stalled response to free its back end. */
     fun tick() {
         pump()
         val victim = readers.victim(admission.waitingLines().isNotEmpty(), clock.elapsed()) ?: return
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdempotencyKeyFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdempotencyKeyFilter.kt
@@ -1,5 +1,5 @@
 /**
- * Makes sure that a request which may run at most once carries a key by which its repeats are known.
+ * Rejects a request that may run at most once but has no valid idempotency key, which identifies its repeats.
  */
 package lagoonrudder.traffic.entry
 
@@ -19,13 +19,13 @@
         val context = call.context
         if (context.route.idempotent) return next.proceed(call)
         val key = context.key?.text.orEmpty()
-        val wellFormed = key.isNotBlank() && key.length <= LONGEST_KEY
+        val wellFormed = key.isNotBlank() && key.length <= MAX_KEY_LENGTH
         if (wellFormed) return next.proceed(call)
-        val refusal = Refusal.Invalid("header Idempotency-Key of 1 to $LONGEST_KEY characters")
+        val refusal = Refusal.Invalid("header Idempotency-Key must have 1 to $MAX_KEY_LENGTH characters")
         return Outcome.Refused(refusal, Step.GUARD_REPEATS, Peer(PeerRole.CALLER, context.customer.id.text))
     }
 
     private companion object {
-        const val LONGEST_KEY = 128
+        const val MAX_KEY_LENGTH = 128
     }
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdentifyFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdentifyFilter.kt
@@ -1,5 +1,5 @@
 /**
- * Finds out what a request is: its route, customer, deadline and size, under the set in force.
+ * Resolves the route, customer, deadline and size of a request from the active configuration.
  */
 package lagoonrudder.traffic.entry
 
@@ -23,7 +23,7 @@
 import lagoonrudder.traffic.Next
 import lagoonrudder.traffic.Work
 
-/** Reads a caller's body as a request for text. */
+/** Decodes a caller's body as a text generation request. */
 fun interface GenerationDecoder {
     fun decode(body: ByteArray): Either<Refusal.Invalid, Work.Generate>
 }
@@ -38,7 +38,7 @@
         call: EntryCall,
         next: Next<EntryCall>,
     ): Outcome {
-        val set = control.thread.decide { openSet() }
+        val set = control.thread.decide { activeSnapshot() }
         val context = set.flatMap { identify(call, it) }
         return context.fold(
             { Outcome.Refused(it, Step.IDENTIFY, Peer.SELF) },
@@ -49,7 +49,7 @@
         )
     }
 
-    private fun openSet(): Either<Refusal, SealedSet> {
+    private fun activeSnapshot(): Either<Refusal, SealedSet> {
         val set = control.configuration.current
         val now = clock.elapsed()
         val confirmed = control.configuration.mayServe(now) && !control.service.wasPaused(now)
@@ -78,7 +78,7 @@
                 key = call.caller.key,
                 deadline = call.receivedAt + route.deadline,
                 tokens = tokensOf(work),
-                bytes = call.caller.body.size + answerBytes(work),
+                bytes = call.caller.body.size + responseBytes(work),
             )
         }
 
@@ -97,14 +97,14 @@
             is Work.Plain -> 1L
         }
 
-    private fun answerBytes(work: Work): Long =
+    private fun responseBytes(work: Work): Long =
         when (work) {
             is Work.Generate -> work.maximumTokens.toLong() * CHARACTERS_PER_TOKEN
-            is Work.Plain -> PLAIN_ANSWER_BYTES
+            is Work.Plain -> PLAIN_RESPONSE_BYTES
         }
 
     private companion object {
         const val CHARACTERS_PER_TOKEN = 4
-        const val PLAIN_ANSWER_BYTES = 2_000L
+        const val PLAIN_RESPONSE_BYTES = 2_000L
     }
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/RelayFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/RelayFilter.kt
@@ -1,5 +1,5 @@
 /**
- * Opens the memory of an answer, writes it to the caller while it arrives, and ends it whole or visibly broken.
+ * Reserves the buffer of a response, writes the response to the caller as it arrives, and completes or visibly aborts it.
  */
 package lagoonrudder.traffic.entry
 
@@ -20,10 +20,10 @@
 import lagoonrudder.traffic.Next
 import kotlin.time.Duration.Companion.seconds
 
-/** The caller closed its connection or it broke; thrown by an [ResponseSink]. */
+/** Thrown by a [ResponseSink] if the caller closed its connection or the connection failed. */
 class CallerDisconnected(
     cause: Throwable?,
-) : Exception("the caller has gone", cause)
+) : Exception("the caller disconnected", cause)
 
 class RelayFilter(
     private val control: EntryControl,
@@ -39,8 +39,8 @@
         if (!control.thread.decide { control.open(request, call.relay) }) return refuse(call)
         try {
             return relay(call, next)
-        } catch (gone: CallerDisconnected) {
-            return Outcome.Broken(Failure.Interrupted(Step.RELAY, callerOf(call), gone.message.orEmpty()))
+        } catch (disconnected: CallerDisconnected) {
+            return Outcome.Broken(Failure.Interrupted(Step.RELAY, callerOf(call), disconnected.message.orEmpty()))
         } finally {
             withContext(NonCancellable) { control.thread.decide { control.close(request) } }
         }
@@ -65,8 +65,10 @@
     ) {
         when (outcome) {
             is Outcome.Completed -> {
-                val whole = outcome.length == call.relay.offset && call.relay.started
-                invariants.check(whole, Invariant.WHOLE_OWN_ANSWER, Step.RELAY, callerOf(call)) { "request=${call.context.request.text}" }
+                val complete = outcome.length == call.relay.offset && call.relay.started
+                invariants.check(complete, Invariant.WHOLE_OWN_ANSWER, Step.RELAY, callerOf(call)) {
+                    "request=${call.context.request.text}"
+                }
                 call.sink.finish(outcome.length, call.relay.checksum)
             }
             is Outcome.Broken -> call.sink.abort(outcome.failure)
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/ResponseRelay.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/ResponseRelay.kt
@@ -1,9 +1,9 @@
 /**
- * Hands an answer on to its caller, whole or visibly broken, within the memory that the controllers allow.
+ * Relays a response to its caller, either complete or visibly aborted, within the memory that the controllers allow.
  *
- * Bytes from the target go into a buffer of bounded size and from there to the caller. While the caller keeps up the
- * relay accounts for itself; only when the buffer grows past [BASE_BYTES] does it ask the control thread for more. A
- * relay that is parked gives up its attempt and is resumed from its offset once the caller has read what was held.
+ * Bytes from the target go into a bounded buffer and from there to the caller. While the caller keeps up, the relay does its
+ * own accounting; it asks the control thread for more memory only when the buffer grows beyond [BASE_BYTES]. A parked relay
+ * cancels its attempt and resumes at its offset once the caller has read the buffered bytes.
  */
 package lagoonrudder.traffic.entry
 
@@ -26,34 +26,34 @@
     private val control: EntryControl,
     private val clock: Clock,
 ) {
-    private val whole = ResponseVerifier(0)
-    private val buffered = Channel<ByteArray>(Channel.UNLIMITED)
-    private val readSignal = Channel<Unit>(Channel.CONFLATED)
-    private val held = AtomicLong()
+    private val verifier = ResponseVerifier(0)
+    private val outgoing = Channel<ByteArray>(Channel.UNLIMITED)
+    private val consumed = Channel<Unit>(Channel.CONFLATED)
+    private val bufferedBytes = AtomicLong()
 
-    /** The bytes that this answer may hold; changed on the control thread only. */
+    /** The number of bytes that this response may buffer; changed on the control thread only. */
     @Volatile
-    private var granted = BASE_BYTES
+    private var reservedBytes = BASE_BYTES
 
-    /** Completed when the relay should give up its attempt for now. */
+    /** Completed when the relay must park, that is, cancel its attempt until the caller has read the buffered bytes. */
     @Volatile
     var park = CompletableDeferred<Unit>()
         private set
 
-    /** The version that the answer is from, once its head was handed on. */
+    /** The version that serves the response; null until its head was forwarded, and for plain services. */
     var version: VersionId? = null
         private set
     var started = false
         private set
 
-    /** The time for which the caller has held the answer back. */
+    /** The total time that the response was delayed by a caller that reads slowly. */
     var heldBack: Duration = Duration.ZERO
         private set
 
-    /** The number of bytes taken in so far, which is where a resumed attempt must start. */
-    val offset: Long get() = whole.length
+    /** The number of bytes received so far, at which a resumed attempt must start. */
+    val offset: Long get() = verifier.length
 
-    val checksum: Long get() = whole.checksum
+    val checksum: Long get() = verifier.checksum
 
     suspend fun start(
         head: RunEvent.Head,
@@ -64,83 +64,83 @@
         sink.start(head.status, head.contentType, head.version)
     }
 
-    /** Takes in bytes and suspends while there is no room for them; false when they don't follow what came before. */
-    suspend fun take(bytes: RunEvent.Bytes): Boolean {
-        if (!whole.follow(bytes.offset, bytes.data)) return false
-        for (start in bytes.data.indices step LARGEST_PIECE) {
-            val end = minOf(start + LARGEST_PIECE, bytes.data.size)
-            val piece = if (end - start == bytes.data.size) bytes.data else bytes.data.copyOfRange(start, end)
-            buffer(piece)
+    /** Buffers bytes, suspending while there is no space for them; returns false if they do not continue the previous ones. */
+    suspend fun append(bytes: RunEvent.Bytes): Boolean {
+        if (!verifier.append(bytes.offset, bytes.data)) return false
+        for (start in bytes.data.indices step MAX_CHUNK_BYTES) {
+            val end = minOf(start + MAX_CHUNK_BYTES, bytes.data.size)
+            val chunk = if (end - start == bytes.data.size) bytes.data else bytes.data.copyOfRange(start, end)
+            enqueueChunk(chunk)
         }
         return true
     }
 
-    private suspend fun buffer(piece: ByteArray) {
-        val asked = clock.elapsed()
-        awaitRoom(piece.size.toLong())
-        heldBack += clock.elapsed() - asked
-        held.addAndGet(piece.size.toLong())
-        buffered.send(piece)
+    private suspend fun enqueueChunk(chunk: ByteArray) {
+        val startedAt = clock.elapsed()
+        awaitBufferSpace(chunk.size.toLong())
+        heldBack += clock.elapsed() - startedAt
+        bufferedBytes.addAndGet(chunk.size.toLong())
+        outgoing.send(chunk)
     }
 
-    /** No more bytes will come. */
+    /** Signals that no more bytes will follow. */
     fun complete() {
-        buffered.close()
+        outgoing.close()
     }
 
-    /** Writes to the caller until [complete]. */
+    /** Writes buffered bytes to the caller until [complete]. */
     suspend fun drain(sink: ResponseSink) {
-        for (data in buffered) {
+        for (data in outgoing) {
             sink.write(data)
-            held.addAndGet(-data.size.toLong())
-            readSignal.trySend(Unit)
-            giveBack()
+            bufferedBytes.addAndGet(-data.size.toLong())
+            consumed.trySend(Unit)
+            releaseBuffer()
         }
     }
 
-    /** Suspends until the caller has read everything that is held. */
-    suspend fun awaitRead() {
-        while (held.get() > 0) readSignal.receive()
+    /** Suspends until the caller has read all buffered bytes. */
+    suspend fun awaitDrained() {
+        while (bufferedBytes.get() > 0) consumed.receive()
         control.thread.decide { control.readers.resumed(request, clock.elapsed()) }
         park = CompletableDeferred()
     }
 
-    private suspend fun awaitRoom(bytes: Long) {
-        while (held.get() > 0 && held.get() + bytes > granted) {
-            when (control.thread.decide { holdMore() }) {
+    private suspend fun awaitBufferSpace(bytes: Long) {
+        while (bufferedBytes.get() > 0 && bufferedBytes.get() + bytes > reservedBytes) {
+            when (control.thread.decide { reserveMore() }) {
                 HoldDecision.Hold -> Unit
-                HoldDecision.Wait -> awaitReadOrTime()
+                HoldDecision.Wait -> awaitReadOrTimeout()
             }
         }
     }
 
-    private fun holdMore(): HoldDecision {
+    private fun reserveMore(): HoldDecision {
         val decision = control.readers.hold(request, STEP_BYTES)
-        if (decision is HoldDecision.Hold) granted += STEP_BYTES
+        if (decision is HoldDecision.Hold) reservedBytes += STEP_BYTES
         return decision
     }
 
-    private suspend fun awaitReadOrTime() {
+    private suspend fun awaitReadOrTimeout() {
         select {
-            readSignal.onReceive { }
+            consumed.onReceive { }
             @OptIn(kotlinx.coroutines.ExperimentalCoroutinesApi::class)
-            onTimeout(ROOM_INTERVAL) { }
+            onTimeout(SPACE_CHECK_INTERVAL) { }
         }
     }
 
-    private suspend fun giveBack() {
-        if (granted <= BASE_BYTES || held.get() > BASE_BYTES / 2) return
+    private suspend fun releaseBuffer() {
+        if (reservedBytes <= BASE_BYTES || bufferedBytes.get() > BASE_BYTES / 2) return
         control.thread.decide {
-            control.readers.read(request, granted - BASE_BYTES, clock.elapsed())
-            granted = BASE_BYTES
+            control.readers.read(request, reservedBytes - BASE_BYTES, clock.elapsed())
+            reservedBytes = BASE_BYTES
         }
     }
 
     companion object {
-        /** What every open answer may hold without asking, in bytes. */
+        /** The number of bytes that every open response may buffer without a reservation. */
         const val BASE_BYTES = 4_096L
         private const val STEP_BYTES = 4_096L
-        private const val LARGEST_PIECE = 2_048
-        private val ROOM_INTERVAL = 50.milliseconds
+        private const val MAX_CHUNK_BYTES = 2_048
+        private val SPACE_CHECK_INTERVAL = 50.milliseconds
     }
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/SendFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/SendFilter.kt
@@ -1,10 +1,10 @@
 /**
- * Sends a request to its target, again where that is safe, until it has an answer or a truthful end.
+ * Sends a request to its target and retries where that is safe, until it has a response or a definite outcome.
  *
- * A request that may run at most once is reserved at the owner of its key first. Nothing runs without a permit, a permit
- * is good for one run, and only the target's clock judges its life. After a run was sent it is sent again only when the
- * other side proves that it did not run. A request that may repeat is retried within the retry budget, and the text of
- * an engine resumes at the offset that was reached, from the same version.
+ * A request that may run at most once is first reserved at the owner of its idempotency key. Nothing runs without a permit, a
+ * permit is valid for one run, and only the target's clock decides when it expires. After a run was sent, it is sent again only
+ * if the target proves that it did not run. An idempotent request is retried within the retry budget, and text from an engine
+ * resumes at the offset that was reached, from the same version.
  */
 package lagoonrudder.traffic.entry
 
@@ -52,8 +52,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * [firstEvent] and [nextEvent] bound the silence of a target, [attempts] the tries of one request, [resume] the wait of an
- * answer that has begun for a target to go on at.
+ * Limits of one request. [firstEvent] and [nextEvent] are the timeouts for events of a target, [attempts] is the maximum number
+ * of attempts, and [resume] is the time that a started response may wait for a target to resume at.
  */
 data class SendLimits(
     val firstEvent: Duration = 3.seconds,
@@ -65,25 +65,25 @@
 
 class SendFilter(
     private val control: EntryControl,
-    private val link: TargetClient,
+    private val client: TargetClient,
     private val clock: Clock,
     private val limits: SendLimits,
 ) : Filter<EntryCall> {
     override suspend fun handle(
         call: EntryCall,
         next: Next<EntryCall>,
-    ): Outcome = Sending(call, control, link, clock, limits).run()
+    ): Outcome = SendOperation(call, control, client, clock, limits).run()
 }
 
-/** How one attempt ended. */
+/** The result of one attempt. */
 private sealed class AttemptResult {
     data class Ended(
         val outcome: Outcome,
         val room: Room? = null,
     ) : AttemptResult()
 
-    /** The target proved that it did not run. */
-    data class TurnedAway(
+    /** The target proved that the attempt did not run. */
+    data class Rejected(
         val refusal: Refusal,
         val peer: Peer,
         val room: Room?,
@@ -97,10 +97,10 @@
     data object Parked : AttemptResult()
 }
 
-private class Sending(
+private class SendOperation(
     private val call: EntryCall,
     private val control: EntryControl,
-    private val link: TargetClient,
+    private val client: TargetClient,
     private val clock: Clock,
     private val limits: SendLimits,
 ) {
@@ -116,30 +116,30 @@
         while (true) {
             attempt++
             val ended =
-                when (val result = counted { attempt() }) {
+                when (val result = recorded { attempt() }) {
                     is AttemptResult.Ended -> return result.outcome
-                    is AttemptResult.TurnedAway -> afterRefusal(result)
-                    is AttemptResult.Lost -> afterLoss(result.failure)
-                    AttemptResult.Parked -> awaitReader()
+                    is AttemptResult.Rejected -> onRejected(result)
+                    is AttemptResult.Lost -> onLost(result.failure)
+                    AttemptResult.Parked -> awaitDrained()
                 }
             if (ended != null) return ended
             awaitTarget()?.let { return it }
         }
     }
 
-    /** Runs one attempt and tells the controllers how the target did. */
-    private suspend fun counted(attempt: suspend () -> AttemptResult): AttemptResult {
+    /** Runs one attempt and reports its result to the controllers. */
+    private suspend fun recorded(attempt: suspend () -> AttemptResult): AttemptResult {
         var result: AttemptResult? = null
         try {
             return attempt().also { result = it }
         } finally {
-            withContext(NonCancellable) { control.thread.decide { account(result) } }
+            withContext(NonCancellable) { control.thread.decide { recordResult(result) } }
         }
     }
 
-    private fun account(result: AttemptResult?) {
+    private fun recordResult(result: AttemptResult?) {
         when (result) {
-            is AttemptResult.TurnedAway -> control.turnedAway(target, result.room)
+            is AttemptResult.Rejected -> control.turnedAway(target, result.room)
             is AttemptResult.Lost -> control.ended(ticket, target, failed = true)
             is AttemptResult.Ended -> {
                 result.room?.let { control.roomSeen(target, it) }
@@ -149,50 +149,50 @@
         }
     }
 
-    private fun afterRefusal(result: AttemptResult.TurnedAway): Outcome? {
+    private fun onRejected(result: AttemptResult.Rejected): Outcome? {
         val final = result.refusal is Refusal.Invalid || attempt >= limits.attempts
-        if (final) return endWithout(result.refusal, result.peer)
-        val elsewhere = result.refusal is Refusal.NotServing || result.refusal is Refusal.WrongVersion
-        if (elsewhere) exclude(target)
+        if (final) return finalOutcome(result.refusal, result.peer)
+        val excludesTarget = result.refusal is Refusal.NotServing || result.refusal is Refusal.WrongVersion
+        if (excludesTarget) exclude(target)
         return null
     }
 
-    private suspend fun afterLoss(failure: Failure): Outcome? {
+    private suspend fun onLost(failure: Failure): Outcome? {
         if (failure !is Failure.Unreachable && !isReservation(failure)) mayHaveRun = failure
         if (relay.started && context.work is Work.Plain) return Outcome.Broken(failure)
-        val again = attempt < limits.attempts && control.thread.decide { control.retries.spend() }
-        if (!again) return endWithout(Refusal.NoTarget(RETRY), failure.peer)
+        val retry = attempt < limits.attempts && control.thread.decide { control.retries.spend() }
+        if (!retry) return finalOutcome(Refusal.NoTarget(RETRY), failure.peer)
         exclude(target)
         return null
     }
 
-    private suspend fun awaitReader(): Outcome? {
-        relay.awaitRead()
+    private suspend fun awaitDrained(): Outcome? {
+        relay.awaitDrained()
         attempt--
         return null
     }
 
-    /** The truthful end of a request that gets no answer. */
-    private fun endWithout(
+    /** Returns the outcome of a request that gets no complete response, by whether it may have run. */
+    private fun finalOutcome(
         refusal: Refusal,
         peer: Peer,
     ): Outcome {
-        val uncertain = mayHaveRun
+        val failure = mayHaveRun
         return when {
-            relay.started -> Outcome.Broken(uncertain ?: Failure.Declined(Step.SEND, peer, refusal.code))
-            uncertain != null && context.work is Work.Plain -> Outcome.Unknown(uncertain)
+            relay.started -> Outcome.Broken(failure ?: Failure.Declined(Step.SEND, peer, refusal.code))
+            failure != null && context.work is Work.Plain -> Outcome.Unknown(failure)
             else -> Outcome.Refused(refusal, Step.SEND, peer)
         }
     }
 
-    /** Waits for another target; an outcome means that there is none. */
+    /** Waits for another target; returns an outcome if there is none. */
     private suspend fun awaitTarget(): Outcome? {
         if (relay.started) ticket = ticket.copy(waiting = ticket.waiting.copy(deadline = clock.elapsed() + limits.resume))
-        val turn = awaitTurn(control, ticket) { reenter(it) }
-        return when (turn) {
-            is Dispatched.Refused -> endWithout(turn.refusal, Peer.SELF)
+        val dispatched = awaitDispatch(control, ticket) { reenter(it) }
+        return when (dispatched) {
+            is Dispatched.Refused -> finalOutcome(dispatched.refusal, Peer.SELF)
             is Dispatched.Go -> {
-                target = turn.target
+                target = dispatched.target
                 null
             }
         }
@@ -213,22 +213,22 @@
         val key = context.key ?: return AttemptResult.Lost(unlisted())
         val body = digestOf(call.caller.body)
         val reserve = ReserveRequest(context.request, context.fleet.id, key, body, context.revision)
-        val reserved = link.reserve(instance, reserve, limits.reserve)
+        val reserved = client.reserve(instance, reserve, limits.reserve)
         return when (reserved) {
-            is Either.Left -> lostReservation(instance, reserved.value)
-            is Either.Right -> afterReservation(instance, reserved.value, key)
+            is Either.Left -> onReservationFailed(instance, reserved.value)
+            is Either.Right -> onReservation(instance, reserved.value, key)
         }
     }
 
-    private suspend fun lostReservation(
+    private suspend fun onReservationFailed(
         instance: Instance,
         failure: Failure,
     ): AttemptResult {
-        if (failure is Failure.TimedOut) link.reset(instance)
+        if (failure is Failure.TimedOut) client.reset(instance)
         return AttemptResult.Lost(Failure.Unreachable(Step.GUARD_REPEATS, failure.peer, failure.detail))
     }
 
-    private suspend fun afterReservation(
+    private suspend fun onReservation(
         instance: Instance,
         decision: RepeatDecision,
         key: RepeatKey,
@@ -236,21 +236,21 @@
         val peer = peerOf(instance)
         return when (decision) {
             is RepeatDecision.Permitted -> attemptRun(instance, RunPermit(key, decision.permit))
-            is RepeatDecision.Refused -> AttemptResult.TurnedAway(decision.refusal, peer, null)
+            is RepeatDecision.Refused -> AttemptResult.Rejected(decision.refusal, peer, null)
             is RepeatDecision.Uncertain -> unknown(Failure.Declined(Step.GUARD_REPEATS, peer, decision.detail))
-            is RepeatDecision.AskOwners -> unknown(Failure.Damaged(Step.GUARD_REPEATS, peer, "an answer that is not for entry daemons"))
-            is RepeatDecision.RanBefore -> repeatAnswer(decision.answer, peer)
+            is RepeatDecision.AskOwners -> unknown(Failure.Damaged(Step.GUARD_REPEATS, peer, "decision is not valid for entry daemons"))
+            is RepeatDecision.RanBefore -> recordedResponse(decision.answer, peer)
         }
     }
 
-    private suspend fun repeatAnswer(
-        answer: RecordedAnswer?,
+    private suspend fun recordedResponse(
+        response: RecordedAnswer?,
         peer: Peer,
     ): AttemptResult {
-        if (answer == null) return unknown(Failure.Declined(Step.GUARD_REPEATS, peer, "it ran before and its answer is no longer held"))
-        relay.start(RunEvent.Head(context.request, attempt, null, answer.status, answer.contentType), call.sink)
-        relay.take(RunEvent.Bytes(0, answer.body, checksumOf(answer.body)))
-        return AttemptResult.Ended(Outcome.Completed(answer.body.size.toLong(), null))
+        if (response == null) return unknown(Failure.Declined(Step.GUARD_REPEATS, peer, "already ran; its response is no longer held"))
+        relay.start(RunEvent.Head(context.request, attempt, null, response.status, response.contentType), call.sink)
+        relay.append(RunEvent.Bytes(0, response.body, checksumOf(response.body)))
+        return AttemptResult.Ended(Outcome.Completed(response.body.size.toLong(), null))
     }
 
     private fun unknown(failure: Failure) = AttemptResult.Ended(Outcome.Unknown(failure))
@@ -261,14 +261,14 @@
     ): AttemptResult =
         coroutineScope {
             val running = async { collect(instance, permit) }
-            val parking = launch { awaitPark(permit, running) }
+            val parkWatch = launch { awaitPark(permit, running) }
             try {
                 running.await()
             } catch (cancelled: CancellationException) {
                 ensureActive()
                 if (relay.park.isCompleted) AttemptResult.Parked else throw cancelled
             } finally {
-                parking.cancel()
+                parkWatch.cancel()
             }
         }
 
@@ -288,20 +288,20 @@
     ): AttemptResult {
         val peer = peerOf(instance)
         val check = ResponseVerifier(relay.offset)
-        var known = false
-        val events = link.run(instance, requestFor(permit)).withProgressLimits(progressLimits(), Step.RUN, peer)
+        var headReceived = false
+        val events = client.run(instance, requestFor(permit)).withProgressLimits(progressLimits(), Step.RUN, peer)
         val result =
             events
                 .mapNotNull { event ->
                     when (event) {
-                        is Either.Left -> afterFailure(instance, permit, event.value)
+                        is Either.Left -> onFailure(instance, permit, event.value)
                         is Either.Right -> {
-                            if (event.value is RunEvent.Head) known = true
-                            takeIn(event.value, check, known, permit, peer)
+                            if (event.value is RunEvent.Head) headReceived = true
+                            onEvent(event.value, check, headReceived, permit, peer)
                         }
                     }
                 }
-        return result.firstOr(afterFailure(instance, permit, Failure.Interrupted(Step.RUN, peer, "the answer ended without its end mark")))
+        return result.firstOr(onFailure(instance, permit, Failure.Interrupted(Step.RUN, peer, "the response ended without its end mark")))
     }
 
     private suspend fun Flow<AttemptResult>.firstOr(otherwise: AttemptResult): AttemptResult =
@@ -311,37 +311,37 @@
             otherwise
         }
 
-    /** Takes in one event; a result means that the attempt is over. */
-    private suspend fun takeIn(
+    /** Processes one event; returns the result of the attempt if it is over. */
+    private suspend fun onEvent(
         event: RunEvent,
         check: ResponseVerifier,
-        known: Boolean,
+        headReceived: Boolean,
         permit: RunPermit?,
         peer: Peer,
     ): AttemptResult? {
-        if (!known && event !is RunEvent.NotRun) return damaged(permit, peer, "an answer without a head")
+        if (!headReceived && event !is RunEvent.NotRun) return damaged(permit, peer, "response without a head")
         return when (event) {
-            is RunEvent.NotRun -> AttemptResult.TurnedAway(event.refusal, peer, event.room)
-            is RunEvent.Head -> takeHead(event, permit, peer)
-            is RunEvent.Bytes -> takeBytes(event, check, permit, peer)
-            is RunEvent.End -> takeEnd(event, check, permit, peer)
+            is RunEvent.NotRun -> AttemptResult.Rejected(event.refusal, peer, event.room)
+            is RunEvent.Head -> onHead(event, permit, peer)
+            is RunEvent.Bytes -> onBytes(event, check, permit, peer)
+            is RunEvent.End -> onEnd(event, check, permit, peer)
         }
     }
 
-    private suspend fun takeHead(
+    private suspend fun onHead(
         head: RunEvent.Head,
         permit: RunPermit?,
         peer: Peer,
     ): AttemptResult? {
-        val own = head.request == context.request && head.attempt == attempt
-        if (!own) return damaged(permit, peer, "an answer to another request")
-        if (relay.started && head.version != relay.version) return damaged(permit, peer, "an answer of another version")
-        if (!context.fleet.accepts(head.version)) return damaged(permit, peer, "an answer of a version that was not asked for")
+        val matches = head.request == context.request && head.attempt == attempt
+        if (!matches) return damaged(permit, peer, "response to another request or attempt")
+        if (relay.started && head.version != relay.version) return damaged(permit, peer, "response of a different version")
+        if (!context.fleet.accepts(head.version)) return damaged(permit, peer, "response of a version that was not requested")
         if (!relay.started) relay.start(head, call.sink)
         return null
     }
 
-    private suspend fun takeBytes(
+    private suspend fun onBytes(
         bytes: RunEvent.Bytes,
         check: ResponseVerifier,
         permit: RunPermit?,
@@ -350,43 +350,43 @@
         if (checksumOf(bytes.data) !=
             bytes.checksum
         ) {
-            return damaged(permit, peer, "bytes at offset ${bytes.offset} don't match their checksum")
+            return damaged(permit, peer, "bytes at offset ${bytes.offset} do not match their checksum")
         }
-        val follows = check.follow(bytes.offset, bytes.data) && relay.take(bytes)
-        return if (follows) null else damaged(permit, peer, "bytes out of order at offset ${bytes.offset}")
+        val follows = check.append(bytes.offset, bytes.data) && relay.append(bytes)
+        return if (follows) null else damaged(permit, peer, "data at unexpected offset ${bytes.offset}")
     }
 
-    private fun takeEnd(
+    private fun onEnd(
         end: RunEvent.End,
         check: ResponseVerifier,
         permit: RunPermit?,
         peer: Peer,
     ): AttemptResult {
-        if (!check.endsWith(end.length, end.checksum)) return wrongEnd(peer)
+        if (!check.matchesEnd(end.length, end.checksum)) return onEndMismatch(peer)
         return AttemptResult.Ended(Outcome.Completed(end.length, relay.version), end.room)
     }
 
-    /** What was handed on can't be taken back: the answer ends broken, it is not resumed. */
-    private fun wrongEnd(peer: Peer): AttemptResult =
-        AttemptResult.Ended(Outcome.Broken(Failure.Damaged(Step.RELAY, peer, "length or checksum of the answer differ")))
+    /** Ends the response as broken instead of resuming it, because bytes that were already forwarded can't be revoked. */
+    private fun onEndMismatch(peer: Peer): AttemptResult =
+        AttemptResult.Ended(Outcome.Broken(Failure.Damaged(Step.RELAY, peer, "response length or checksum mismatch")))
 
     private fun damaged(
         permit: RunPermit?,
         peer: Peer,
         detail: String,
-    ): AttemptResult = lostOrUncertain(permit, Failure.Damaged(Step.RELAY, peer, detail))
+    ): AttemptResult = lostOrUnknown(permit, Failure.Damaged(Step.RELAY, peer, detail))
 
-    private fun afterFailure(
+    private fun onFailure(
         instance: Instance,
         permit: RunPermit?,
         failure: Failure,
     ): AttemptResult {
-        if (failure is Failure.TimedOut) link.reset(instance)
-        return lostOrUncertain(permit, failure)
+        if (failure is Failure.TimedOut) client.reset(instance)
+        return lostOrUnknown(permit, failure)
     }
 
-    /** Under a permit only a failure before anything was sent allows another try. */
-    private fun lostOrUncertain(
+    /** Under a permit, only a failure before anything was sent allows another attempt. */
+    private fun lostOrUnknown(
         permit: RunPermit?,
         failure: Failure,
     ): AttemptResult =
@@ -418,10 +418,10 @@
             is Work.Plain -> ProgressLimits(timeLeft(), limits.nextEvent)
         }
 
-    /** What is left of the deadline; an answer that has begun is bounded by its progress alone. */
+    /** Returns the time until the deadline; a started response is limited by its progress timeouts alone. */
     private fun timeLeft(): Duration {
         val left = context.deadline - clock.elapsed()
-        return if (relay.started) maxOf(left, limits.firstEvent) else left.coerceAtLeast(SHORTEST_TIME)
+        return if (relay.started) maxOf(left, limits.firstEvent) else left.coerceAtLeast(MIN_TIME_LEFT)
     }
 
     private fun isReservation(failure: Failure) = failure.step == Step.GUARD_REPEATS
@@ -432,6 +432,6 @@
 
     private companion object {
         val RETRY = 500.milliseconds
-        val SHORTEST_TIME = 1.milliseconds
+        val MIN_TIME_LEFT = 1.milliseconds
     }
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/AdmissionFilters.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/AdmissionFilters.kt
@@ -1,7 +1,7 @@
 /**
- * The filters of a target daemon that let an attempt in or turn it away.
+ * The filters of a target daemon that admit or refuse an attempt.
  *
- * All of them refuse before anything reaches the back end, so every refusal here is a true "not run".
+ * All of them refuse before anything reaches the back end, so every refusal here proves that the attempt did not run.
  */
 package lagoonrudder.traffic.target
 
@@ -31,7 +31,7 @@
     step: Step,
 ): Outcome = Outcome.Refused(refusal, step, Peer.SELF)
 
-/** Waits briefly for a set that the sender has already, and refuses without it. */
+/** Waits briefly for the configuration revision that the sender already has, and refuses the attempt without it. */
 class FreshConfigurationFilter(
     private val control: TargetControl,
 ) : Filter<TargetCall> {
@@ -39,15 +39,15 @@
         call: TargetCall,
         next: Next<TargetCall>,
     ): Outcome {
-        val wanted = call.run.revision.number
+        val required = call.run.revision.number
         val reached =
-            control.revision.value >= wanted ||
-                withTimeoutOrNull(TargetControl.CATCH_UP_LIMIT) { control.revision.first { it >= wanted } } != null
+            control.revision.value >= required ||
+                withTimeoutOrNull(TargetControl.CATCH_UP_LIMIT) { control.revision.first { it >= required } } != null
         return if (reached) next.proceed(call) else refused(Refusal.NotServing(RETRY, "older configuration"), Step.ACCEPT_CONFIGURATION)
     }
 }
 
-/** Refuses an attempt that the loaded weights may not answer. */
+/** Refuses an attempt that the loaded version of the weights may not serve. */
 class VersionFilter(
     private val control: TargetControl,
 ) : Filter<TargetCall> {
@@ -69,7 +69,7 @@
     }
 }
 
-/** Admits an attempt within the limits of the instance, after a short wait if need be, and releases what it held at its end. */
+/** Admits an attempt within the limits of the instance, after a short wait if necessary, and releases its share at its end. */
 class LimitFilter(
     private val control: TargetControl,
     private val clock: Clock,
@@ -79,8 +79,8 @@
         next: Next<TargetCall>,
     ): Outcome {
         val request = call.run.request
-        val turn = control.thread.decide { control.admit(request, call.version, call.run.tokens) }
-        val refusal = awaitTurn(call, turn)
+        val admission = control.thread.decide { control.admit(request, call.version, call.run.tokens) }
+        val refusal = awaitAdmission(call, admission)
         if (refusal != null) return refused(refusal, Step.ADMIT)
         call.admitted = clock.elapsed()
         try {
@@ -90,41 +90,41 @@
         }
     }
 
-    /** Waits for the turn; a caller that goes away while it waits, or just as it is admitted, gives its place back. */
-    private suspend fun awaitTurn(
+    /** Waits for admission; a caller that disconnects while it waits, or just as it is admitted, releases its slot. */
+    private suspend fun awaitAdmission(
         call: TargetCall,
-        turn: Deferred<Refusal?>,
+        admission: Deferred<Refusal?>,
     ): Refusal? {
-        if (turn.isCompleted) return turn.await()
+        if (admission.isCompleted) return admission.await()
         val request = call.run.request
         try {
-            withTimeoutOrNull(minOf(LONGEST_WAIT, call.run.timeLeft)) { turn.join() }
-        } catch (gone: CancellationException) {
-            withContext(NonCancellable) { control.thread.decide { abandon(request, turn) } }
-            throw gone
+            withTimeoutOrNull(minOf(MAX_WAIT, call.run.timeLeft)) { admission.join() }
+        } catch (cancelled: CancellationException) {
+            withContext(NonCancellable) { control.thread.decide { abandon(request, admission) } }
+            throw cancelled
         }
-        return if (turn.isCompleted) turn.await() else control.thread.decide { control.abandonAdmission(request) }
+        return if (admission.isCompleted) admission.await() else control.thread.decide { control.abandonAdmission(request) }
     }
 
     @OptIn(ExperimentalCoroutinesApi::class)
     private fun abandon(
         request: RequestId,
-        turn: Deferred<Refusal?>,
+        admission: Deferred<Refusal?>,
     ) {
-        if (!turn.isCompleted) {
+        if (!admission.isCompleted) {
             control.abandonAdmission(request)
             return
         }
-        val admitted = turn.getCompleted() == null
+        val admitted = admission.getCompleted() == null
         if (admitted) control.finished(request, EngineResult.Cancelled)
     }
 
     private companion object {
-        val LONGEST_WAIT = 500.milliseconds
+        val MAX_WAIT = 500.milliseconds
     }
 }
 
-/** Lets a request that may run at most once pass with a good permit only. */
+/** Admits a request that may run at most once only with a valid permit. */
 class PermitFilter(
     private val control: TargetControl,
     private val clock: Clock,
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/KeyReservations.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/KeyReservations.kt
@@ -1,8 +1,8 @@
 /**
- * Reserves keys of requests that may run at most once, and hands keys over between owners.
+ * Reserves idempotency keys of requests that may run at most once, and transfers keys between owners.
  *
- * When a key moved to this target lately, its earlier owners are asked first. A key that an earlier owner can't speak for
- * is answered as uncertain.
+ * If a key has recently moved to this target, its previous owners are queried first. If a previous owner can't be reached,
+ * the decision on its key is "uncertain".
  */
 package lagoonrudder.traffic.target
 
@@ -19,14 +19,14 @@
 
 class KeyReservations(
     private val control: TargetControl,
-    private val link: TargetClient,
+    private val client: TargetClient,
     private val clock: Clock,
 ) {
     suspend fun reserve(request: ReserveRequest): RepeatDecision {
         awaitRevision(request.revision.number)
         val decision = control.thread.decide { decide(request, emptySet()) }
         if (decision !is RepeatDecision.AskOwners) return decision
-        for (owner in decision.owners) askOwner(owner, request)?.let { return it }
+        for (owner in decision.owners) requestRelease(owner, request)?.let { return it }
         return control.thread.decide { decide(request, decision.owners.toSet()) }
     }
 
@@ -44,28 +44,28 @@
         return control.repeats.reserve(request.key, request.body, clock.elapsed(), clock.now(), cleared)
     }
 
-    /** Null when [owner] surrendered the key unseen. */
-    private suspend fun askOwner(
+    /** Asks [owner] to release the key; returns null if it did so without having seen a request with that key. */
+    private suspend fun requestRelease(
         owner: TargetId,
         request: ReserveRequest,
     ): RepeatDecision? {
         val instance = control.thread.decide { control.membership.daemonOf(owner) }
         val revision = control.thread.decide { control.configuration.current.revision }
-        val answer = instance?.let { link.surrender(it, SurrenderRequest(request.key, revision), ASK_LIMIT).getOrNull() }
+        val answer = instance?.let { client.surrender(it, SurrenderRequest(request.key, revision), RELEASE_TIMEOUT).getOrNull() }
         return when (answer) {
-            null -> RepeatDecision.Uncertain("the earlier owner ${owner.text} of the key can't be asked")
+            null -> RepeatDecision.Uncertain("the previous owner ${owner.text} of the key can't be reached")
             Surrender.Unseen -> null
             is Surrender.RanBefore -> RepeatDecision.RanBefore(answer.answer)
             is Surrender.Uncertain -> RepeatDecision.Uncertain(answer.detail)
         }
     }
 
-    private suspend fun awaitRevision(wanted: Long) {
-        if (control.revision.value >= wanted) return
-        withTimeoutOrNull(TargetControl.CATCH_UP_LIMIT) { control.revision.first { it >= wanted } }
+    private suspend fun awaitRevision(required: Long) {
+        if (control.revision.value >= required) return
+        withTimeoutOrNull(TargetControl.CATCH_UP_LIMIT) { control.revision.first { it >= required } }
     }
 
     private companion object {
-        val ASK_LIMIT = 700.milliseconds
+        val RELEASE_TIMEOUT = 700.milliseconds
     }
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/RunFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/RunFilter.kt
@@ -1,9 +1,9 @@
 /**
- * Runs an attempt on the back end and hands on its answer.
+ * Runs an attempt on the back end and forwards its response.
  *
- * An engine's answer is checked at its start, in its bytes and at its end: one version must have served it, and it must be
- * the version that was let in. A plain call that may run at most once is not cut off when its caller goes away, so that a
- * repeat finds its answer.
+ * An engine's response is verified at its start, in its bytes and at its end: one version must have served it, and it must be
+ * the version that was admitted. A plain call that may run at most once is not cancelled when its caller disconnects, so that
+ * a retry finds its response.
  */
 package lagoonrudder.traffic.target
 
@@ -36,7 +36,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** How long an engine may stay silent before its first and between further tokens. */
+/** The timeouts for the first token of an engine and for each further one. */
 data class EngineLimits(
     val firstToken: Duration = 2500.milliseconds,
     val nextToken: Duration = 1500.milliseconds,
@@ -62,7 +62,7 @@
         private val call: TargetCall,
         private val work: Work.Generate,
     ) {
-        private val check = ResponseVerifier(call.run.offset)
+        private val verifier = ResponseVerifier(call.run.offset)
         private var started = false
 
         suspend fun run(): Outcome {
@@ -72,42 +72,42 @@
                 backEnd
                     .generate(request)
                     .withProgressLimits(progress, Step.RUN, PEER)
-                    .mapNotNull { event -> event.fold({ failed(it) }, { takeIn(it) }) }
+                    .mapNotNull { event -> event.fold({ failed(it) }, { onEvent(it) }) }
                     .firstOrNull()
-            return outcome ?: failed(Failure.Interrupted(Step.RUN, PEER, "the engine's answer ended without its end mark"))
+            return outcome ?: failed(Failure.Interrupted(Step.RUN, PEER, "the engine's response ended without its end mark"))
         }
 
-        private suspend fun takeIn(event: EngineEvent): Outcome? =
+        private suspend fun onEvent(event: EngineEvent): Outcome? =
             when (event) {
-                is EngineEvent.Started -> start(event)
-                is EngineEvent.Text -> text(event)
-                is EngineEvent.Ended -> end(event)
+                is EngineEvent.Started -> onStarted(event)
+                is EngineEvent.Text -> onText(event)
+                is EngineEvent.Ended -> onEnded(event)
             }
 
-        private suspend fun start(event: EngineEvent.Started): Outcome? {
+        private suspend fun onStarted(event: EngineEvent.Started): Outcome? {
             control.thread.decide { control.limits.observe(event.incarnation) }
-            if (event.version != call.version) return mixed("the engine started with version ${event.version.text}")
+            if (event.version != call.version) return onWrongVersion("the engine started with version ${event.version.text}")
             started = true
             call.emit(RunEvent.Head(call.run.request, call.run.attempt, event.version, OK, "text/plain"))
             return null
         }
 
-        private suspend fun text(event: EngineEvent.Text): Outcome? {
+        private suspend fun onText(event: EngineEvent.Text): Outcome? {
             if (call.result is EngineResult.Cancelled) call.result = EngineResult.Answered(clock.elapsed() - call.admitted)
-            if (!started || !check.follow(event.offset, event.data)) return failed(damaged("bytes out of order at offset ${event.offset}"))
+            if (!started || !verifier.append(event.offset, event.data)) return failed(damaged("data at unexpected offset ${event.offset}"))
             call.emit(RunEvent.Bytes(event.offset, event.data, checksumOf(event.data)))
             return null
         }
 
-        private suspend fun end(event: EngineEvent.Ended): Outcome {
-            if (event.version != call.version) return mixed("the engine ended with version ${event.version.text}")
-            if (!check.endsWith(event.length, event.checksum)) return failed(damaged("length or checksum of the answer differ"))
+        private suspend fun onEnded(event: EngineEvent.Ended): Outcome {
+            if (event.version != call.version) return onWrongVersion("the engine ended with version ${event.version.text}")
+            if (!verifier.matchesEnd(event.length, event.checksum)) return failed(damaged("response length or checksum mismatch"))
             invariants.check(started, Invariant.WHOLE_WEIGHTS_ONLY, Step.RUN, PEER) { "request=${call.run.request.text}" }
-            call.emit(RunEvent.End(event.length, check.checksum, roomNow()))
+            call.emit(RunEvent.End(event.length, verifier.checksum, currentRoom()))
             return Outcome.Completed(event.length, event.version)
         }
 
-        private suspend fun mixed(detail: String): Outcome {
+        private suspend fun onWrongVersion(detail: String): Outcome {
             control.thread.decide {
                 control.switch.engineLost()
                 control.publish()
@@ -131,35 +131,35 @@
         work: Work.Plain,
     ): Outcome {
         val permit = call.run.permit
-        val answer = if (permit == null) callOnce(call, work) else withContext(NonCancellable) { callGuarded(call, work, permit) }
-        call.result = answer.fold({ EngineResult.Trouble }, { EngineResult.Answered(Duration.ZERO) })
-        return when (answer) {
-            is Either.Right -> emitAnswer(call, answer.value)
-            is Either.Left -> plainFailure(answer.value)
+        val response = if (permit == null) callBackEnd(call, work) else withContext(NonCancellable) { callWithPermit(call, work, permit) }
+        call.result = response.fold({ EngineResult.Trouble }, { EngineResult.Answered(Duration.ZERO) })
+        return when (response) {
+            is Either.Right -> emitResponse(call, response.value)
+            is Either.Left -> plainFailure(response.value)
         }
     }
 
-    private suspend fun callOnce(
+    private suspend fun callBackEnd(
         call: TargetCall,
         work: Work.Plain,
-    ): Either<Failure, RecordedAnswer> = backEnd.call(work, call.run.request, call.run.timeLeft.coerceIn(SHORTEST, LONGEST))
+    ): Either<Failure, RecordedAnswer> = backEnd.call(work, call.run.request, call.run.timeLeft.coerceIn(MIN_TIMEOUT, MAX_TIMEOUT))
 
-    private suspend fun callGuarded(
+    private suspend fun callWithPermit(
         call: TargetCall,
         work: Work.Plain,
         permit: RunPermit,
     ): Either<Failure, RecordedAnswer> {
-        val answer = callOnce(call, work)
-        control.thread.decide { record(permit, answer) }
-        return answer
+        val response = callBackEnd(call, work)
+        control.thread.decide { record(permit, response) }
+        return response
     }
 
     private fun record(
         permit: RunPermit,
-        answer: Either<Failure, RecordedAnswer>,
+        response: Either<Failure, RecordedAnswer>,
     ) {
         val now = clock.elapsed()
-        answer.fold(
+        response.fold(
             { if (provesNotRun(it)) control.repeats.notRun(permit.key) else control.repeats.lost(permit.key, now) },
             { control.repeats.ended(permit.key, it, now) },
         )
@@ -167,19 +167,19 @@
 
     private fun provesNotRun(failure: Failure) = failure is Failure.Unreachable || failure is Failure.Declined
 
-    private suspend fun emitAnswer(
+    private suspend fun emitResponse(
         call: TargetCall,
-        answer: RecordedAnswer,
+        response: RecordedAnswer,
     ): Outcome {
-        val check = ResponseVerifier(0)
-        check.follow(0, answer.body)
-        call.emit(RunEvent.Head(call.run.request, call.run.attempt, null, answer.status, answer.contentType))
-        call.emit(RunEvent.Bytes(0, answer.body, checksumOf(answer.body)))
-        call.emit(RunEvent.End(check.length, check.checksum, roomNow()))
-        return Outcome.Completed(check.length, null)
+        val verifier = ResponseVerifier(0)
+        verifier.append(0, response.body)
+        call.emit(RunEvent.Head(call.run.request, call.run.attempt, null, response.status, response.contentType))
+        call.emit(RunEvent.Bytes(0, response.body, checksumOf(response.body)))
+        call.emit(RunEvent.End(verifier.length, verifier.checksum, currentRoom()))
+        return Outcome.Completed(verifier.length, null)
     }
 
-    private suspend fun roomNow() = control.thread.decide { control.limits.room() }
+    private suspend fun currentRoom() = control.thread.decide { control.limits.room() }
 
     private fun plainFailure(failure: Failure): Outcome =
         if (provesNotRun(failure)) Outcome.Refused(Refusal.Overloaded(RETRY), Step.RUN, PEER) else Outcome.Unknown(failure)
@@ -188,12 +188,12 @@
         const val OK = 200
         val PEER = Peer(PeerRole.ENGINE, "slot")
         val RETRY = 200.milliseconds
-        val SHORTEST = 10.milliseconds
-        val LONGEST = 60.seconds
+        val MIN_TIMEOUT = 10.milliseconds
+        val MAX_TIMEOUT = 60.seconds
     }
 }
 
-/** The filters of a target daemon in their order. */
+/** Returns the filters of a target daemon in their order. */
 fun targetFilters(
     control: TargetControl,
     backEnd: LocalBackEnd,
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/TargetCall.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/TargetCall.kt
@@ -1,5 +1,5 @@
 /**
- * One attempt on its way through the filters of a target daemon, and the back end that it may reach.
+ * One attempt in the filter chain of a target daemon, and the interface to the daemon's back end.
  */
 package lagoonrudder.traffic.target
 
@@ -25,13 +25,13 @@
     val receivedAt: Duration,
     val emit: suspend (RunEvent) -> Unit,
 ) {
-    /** The version that the engine served when the attempt was let in; null for a plain service. */
+    /** The version that the engine served when the attempt was admitted; null for a plain service. */
     var version: VersionId? = null
 
-    /** When the limits let the attempt in. */
+    /** The time at which the limits admitted the attempt. */
     var admitted: Duration = receivedAt
 
-    /** What the run showed of the back end, for the limits. */
+    /** The result of the run, for the limits. */
     @Volatile
     var result: EngineResult = EngineResult.Cancelled
 }
@@ -54,7 +54,7 @@
     ) : EngineEvent()
 }
 
-/** A request for text as the engine gets it. */
+/** A text generation request to the engine. */
 data class GenerateRequest(
     val request: RequestId,
     val work: Work.Generate,
@@ -62,11 +62,11 @@
     val priority: Int,
 )
 
-/** The back end beside a target daemon. Failures say whether anything may have reached it. */
+/** The back end of a target daemon. Failures tell whether anything may have reached it. */
 interface LocalBackEnd {
     fun generate(request: GenerateRequest): Flow<Either<Failure, EngineEvent>>
 
-    /** Calls a plain service; [Failure.Declined] is its own proof that it did not run. */
+    /** Calls a plain service; [Failure.Declined] proves that the request did not run. */
     suspend fun call(
         work: Work.Plain,
         request: RequestId,
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/TargetControl.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/TargetControl.kt
@@ -1,5 +1,5 @@
 /**
- * The controllers of a target daemon. Everything here runs on the control thread.
+ * The controllers of a target daemon. All functions run on the control thread.
  */
 package lagoonrudder.traffic.target
 
@@ -53,22 +53,22 @@
     val weights: WeightController,
     val service: ServiceController,
 ) {
-    private class Turn(
+    private class PendingAdmission(
         val version: VersionId?,
         val result: CompletableDeferred<Refusal?>,
     )
 
-    private val turns = mutableMapOf<RequestId, Turn>()
+    private val pendingAdmissions = mutableMapOf<RequestId, PendingAdmission>()
     private val revisions = MutableStateFlow(0L)
     private val reports = MutableStateFlow(report())
 
-    /** The revision in force, for filters that wait for a newer one. */
+    /** The revision of the active configuration, for filters that wait for a newer one. */
     val revision: StateFlow<Long> = revisions
 
-    /** What entry daemons are told. */
+    /** The reports that are sent to entry daemons. */
     val reported: StateFlow<TargetReport> = reports
 
-    /** A new set is in force, or the list of instances changed. */
+    /** Handles a new active configuration or a change in the list of instances. */
     fun configured() {
         val objects = configuration.current.objects
         weights.configure(objects)
@@ -79,7 +79,7 @@
         publish()
     }
 
-    /** Whether new work may come in now, apart from weights and limits. */
+    /** Returns the refusal for new work now, or null if it may be admitted; disregards weights and limits. */
     fun closed(): Refusal? {
         val now = clock.elapsed()
         val confirmed = configuration.mayServe(now) && !service.wasPaused(now)
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Notes the regular tick; returns whether the process was paused, in which case its configuration must be confirmed. */
+    /** Handles the periodic tick; returns whether the process was paused, in which case its configuration must be confirmed. */
     fun wasPaused(limit: Duration): Boolean {
         val now = clock.elapsed()
         val paused = service.tick(now)
@@ -97,34 +97,34 @@
         return paused
     }
 
-    /** Whether an attempt that wants [version] may come in now, apart from the limits. */
+    /** Returns the refusal for an attempt at [version] now, or null if it may be admitted; disregards the limits. */
     fun refusal(version: VersionId?): Refusal? {
         closed()?.let { return it }
         if (version != switch.serving()) return Refusal.NotServing(RETRY, "switching")
         return switch.refusal()
     }
 
-    /** Admits a request, lets it wait for its turn, or refuses it. */
+    /** Admits, queues or refuses a request; the result completes with null on admission, otherwise with the refusal. */
     fun admit(
         request: RequestId,
         version: VersionId?,
         tokens: Long,
     ): Deferred<Refusal?> {
-        val turn = CompletableDeferred<Refusal?>()
+        val pending = CompletableDeferred<Refusal?>()
         val refusal = refusal(version)
-        if (refusal != null) return turn.also { it.complete(refusal) }
+        if (refusal != null) return pending.also { it.complete(refusal) }
         when (val decision = limits.admit(request, tokens)) {
-            LimitDecision.Admitted -> admitted(request, turn)
-            LimitDecision.Waits -> turns[request] = Turn(version, turn)
-            is LimitDecision.Refused -> turn.complete(decision.refusal)
+            LimitDecision.Admitted -> admitted(request, pending)
+            LimitDecision.Waits -> pendingAdmissions[request] = PendingAdmission(version, pending)
+            is LimitDecision.Refused -> pending.complete(decision.refusal)
         }
         publish()
-        return turn
+        return pending
     }
 
-    /** The request gives up waiting; null when it was admitted meanwhile. */
+    /** Ends the wait of a queued request with a refusal; returns null if it was admitted meanwhile. */
     fun abandonAdmission(request: RequestId): Refusal? {
-        if (turns.remove(request) == null) return null
+        if (pendingAdmissions.remove(request) == null) return null
         limits.leave(request)
         publish()
         return Refusal.Overloaded(RETRY)
@@ -140,38 +140,38 @@
         publish()
     }
 
-    /** Gives free places to those that wait, and refuses them when the target closed meanwhile. */
+    /** Admits queued requests to free slots, and refuses them if the target has stopped accepting work meanwhile. */
     private fun admitWaiting() {
         while (true) {
             val request = limits.nextAdmitted() ?: return
-            val turn = turns.remove(request)
-            val refusal = if (turn == null) Refusal.Overloaded(RETRY) else refusal(turn.version)
-            if (turn != null && refusal == null) {
-                admitted(request, turn.result)
+            val pending = pendingAdmissions.remove(request)
+            val refusal = if (pending == null) Refusal.Overloaded(RETRY) else refusal(pending.version)
+            if (pending != null && refusal == null) {
+                admitted(request, pending.result)
             } else {
                 limits.finished(request, EngineResult.Cancelled, clock.elapsed())
-                turn?.result?.complete(refusal)
+                pending?.result?.complete(refusal)
             }
         }
     }
 
     private fun admitted(
         request: RequestId,
-        turn: CompletableDeferred<Refusal?>,
+        pending: CompletableDeferred<Refusal?>,
     ) {
         val target = configuration.current.objects.targets[self]
         val inService = target != null && configuration.current.objects.inService(target)
         invariants.check(inService, Invariant.NO_NEW_WORK_WHEN_OUT, Step.ADMIT) { "request=${request.text}" }
         service.began()
-        turn.complete(null)
+        pending.complete(null)
     }
 
-    /** Makes the current state known to entry daemons. */
+    /** Publishes the current state to entry daemons. */
     fun publish() {
         reports.value = report()
     }
 
-    /** The daemons that should hold the version of this target's fleet. */
+    /** Returns the daemons that should hold the version of this target's fleet. */
     fun holders(): List<Holder> {
         val objects = configuration.current.objects
         val fleet = objects.targets[self]?.fleet ?: return emptyList()
@@ -183,7 +183,7 @@
         }
     }
 
-    /** The version that this target should serve, null for a plain service. */
+    /** Returns the version that this target should serve; null for a plain service. */
     fun wantedVersion(): OperatorObject.Version? {
         val objects = configuration.current.objects
         val fleet = objects.targets[self]?.let { objects.fleets[it.fleet] }
@@ -222,7 +222,7 @@
     }
 
     companion object {
-        /** How long a filter waits for a set that the entry daemon has and this process lacks. */
+        /** How long a filter waits for a configuration that the entry daemon has but this process lacks. */
         val CATCH_UP_LIMIT: Duration = 300.milliseconds
         private val RETRY = 100.milliseconds
     }
--- a/traffic/src/test/kotlin/lagoonrudder/traffic/direct/DirectSendFilterTest.kt
+++ b/traffic/src/test/kotlin/lagoonrudder/traffic/direct/DirectSendFilterTest.kt
@@ -66,7 +66,7 @@
 private val REGION = RegionId("first")
 private val SERVICE = ServiceId("service")
 
-/** What a back end does with one attempt. */
+/** The scripted behaviour of a back end for one attempt. */
 private sealed class Behaviour {
     data object Unreachable : Behaviour()
 
@@ -80,7 +80,7 @@
     ) : Behaviour()
 }
 
-private class FakeLink(
+private class FakeClient(
     private val behaviours: MutableList<Behaviour>,
 ) : BackEndClient {
     val attempts = mutableListOf<DirectAttempt>()
@@ -112,7 +112,7 @@
     }
 }
 
-private class FakeAnswer : CallerResponse {
+private class FakeResponse : CallerResponse {
     val heads = mutableListOf<ResponseHead>()
     val body = StringBuilder()
     var ended = false
@@ -189,8 +189,8 @@
             placement,
             RetryBudgetShare(RetryBudgetBounds(0.2, 10.seconds, 100.0)),
         )
-    val link = FakeLink(behaviours.toMutableList())
-    val answer = FakeAnswer()
+    val link = FakeClient(behaviours.toMutableList())
+    val answer = FakeResponse()
     val inFlight get() = placement.inFlight()
     private val chain = FilterChain(directFilters(control, link, Random(1)) { _, _ -> })
 
@@ -237,7 +237,7 @@
 @OptIn(ExperimentalCoroutinesApi::class)
 class DirectSendFilterTest :
     FunSpec({
-        test("a request that may run once is not sent again after a reset, and its end promises nothing") {
+        test("an at-most-once request is not retried after a reset, and its outcome is unknown") {
             runTest {
                 val scene = Scene(this, RequestKind.AtMostOnce, 2, RESET, WHOLE)
                 scene.run().shouldBeInstanceOf<Outcome.Unknown>()
@@ -245,7 +245,7 @@
             }
         }
 
-        test("a request that may run once is sent again after a proof that it did not run, and after no connection") {
+        test("an at-most-once request is retried after proof that it did not run, and if no connection could be opened") {
             runTest {
                 val scene = Scene(this, RequestKind.AtMostOnce, 1, NOT_RUN, Behaviour.Unreachable, WHOLE)
                 scene.run().shouldBeInstanceOf<Outcome.Completed>()
@@ -256,7 +256,7 @@
             }
         }
 
-        test("a silent back end of a request that may run once is waited for until the time is over, then the end is unknown") {
+        test("an at-most-once request waits for an unresponsive back end until its deadline, then its outcome is unknown") {
             runTest {
                 val scene = Scene(this, RequestKind.AtMostOnce, 2, Behaviour.Silent(emptyList()))
                 scene.run(timeLeft = 2.seconds).shouldBeInstanceOf<Outcome.Unknown>()
@@ -265,7 +265,7 @@
             }
         }
 
-        test("an idempotent request goes elsewhere after a reset, but to no more back ends than its route allows") {
+        test("an idempotent request is retried elsewhere after a reset, but at no more back ends than its route allows") {
             runTest {
                 val scene = Scene(this, RequestKind.Idempotent, 2, RESET, RESET, WHOLE)
                 scene.run().shouldBeInstanceOf<Outcome.Unknown>()
@@ -273,7 +273,7 @@
             }
         }
 
-        test("an idempotent request whose back end failed it is tried once more, and the failure is passed on unchanged") {
+        test("an idempotent request is retried once after an error response, and the error is forwarded unchanged") {
             runTest {
                 val failed = Behaviour.Answers(listOf(head(500), bytes("bad"), ResponseEvent.End))
                 val scene = Scene(this, RequestKind.Idempotent, 2, failed, failed)
@@ -285,7 +285,7 @@
             }
         }
 
-        test("the failure of a request that may run once is passed on at once") {
+        test("the error response to an at-most-once request is forwarded without a retry") {
             runTest {
                 val scene =
                     Scene(this, RequestKind.AtMostOnce, 2, Behaviour.Answers(listOf(head(500), bytes("bad"), ResponseEvent.End)), WHOLE)
@@ -297,7 +297,7 @@
             }
         }
 
-        test("an answer that proves nothing of its origin is never passed on") {
+        test("a response without proof of execution is never forwarded") {
             runTest {
                 val forged = Behaviour.Answers(listOf(head(200, Execution.UNPROVEN), bytes("forged"), ResponseEvent.End))
                 val scene = Scene(this, RequestKind.AtMostOnce, 2, forged)
@@ -306,7 +306,7 @@
             }
         }
 
-        test("an answer that breaks off before it is whole is replaced") {
+        test("a response that is truncated before it is complete is replaced") {
             runTest {
                 val broken = Behaviour.Answers(listOf(head(), bytes("do")))
                 val scene = Scene(this, RequestKind.Idempotent, 2, broken, WHOLE)
@@ -315,11 +315,11 @@
             }
         }
 
-        test("a stream goes on after its last whole event within the same answer") {
+        test("a stream resumes after its last complete event within the same response") {
             runTest {
-                val torn = Behaviour.Answers(listOf(head(), event(1), event(2), bytes("id: 3\nda")))
+                val truncated = Behaviour.Answers(listOf(head(), event(1), event(2), bytes("id: 3\nda")))
                 val rest = Behaviour.Answers(listOf(head(), event(3), event(4), ResponseEvent.End))
-                val scene = Scene(this, STREAM, 2, torn, rest)
+                val scene = Scene(this, STREAM, 2, truncated, rest)
                 scene.run().shouldBeInstanceOf<Outcome.Completed>()
                 scene.link.attempts.map { it.resumeAfter } shouldContainExactly listOf(null, EventId(2))
                 scene.answer.heads shouldHaveSize 1
@@ -327,18 +327,18 @@
             }
         }
 
-        test("events that were passed on before are not passed on again, and a gap breaks the answer") {
+        test("events that were already forwarded are not forwarded again, and a gap breaks the response") {
             runTest {
-                val torn = Behaviour.Answers(listOf(head(), event(1), event(2)))
+                val truncated = Behaviour.Answers(listOf(head(), event(1), event(2)))
                 val overlapping = Behaviour.Answers(listOf(head(), event(2), event(3), ResponseEvent.End))
-                val scene = Scene(this, STREAM, 2, torn, overlapping)
+                val scene = Scene(this, STREAM, 2, truncated, overlapping)
                 scene.run().shouldBeInstanceOf<Outcome.Completed>()
                 scene.answer.body.toString() shouldBe text(1, 2, 3)
             }
             runTest {
-                val torn = Behaviour.Answers(listOf(head(), event(1)))
+                val truncated = Behaviour.Answers(listOf(head(), event(1)))
                 val gap = Behaviour.Answers(listOf(head(), event(3), ResponseEvent.End))
-                val scene = Scene(this, STREAM, 2, torn, gap)
+                val scene = Scene(this, STREAM, 2, truncated, gap)
                 scene.run().shouldBeInstanceOf<Outcome.Broken>()
                 scene.answer.ended shouldBe false
                 scene.answer.body.toString() shouldBe text(1)
@@ -353,7 +353,7 @@
             }
         }
 
-        test("a stream whose back end falls silent goes elsewhere before the caller gives up") {
+        test("a stream whose back end stops sending is resumed elsewhere before the caller gives up") {
             runTest {
                 val scene =
                     Scene(
@@ -369,7 +369,7 @@
             }
         }
 
-        test("a request that was never run when its time ends is refused") {
+        test("a request that every back end rejected is refused") {
             runTest {
                 val scene = Scene(this, RequestKind.AtMostOnce, 1, NOT_RUN, NOT_RUN, NOT_RUN)
                 scene
@@ -380,7 +380,7 @@
             }
         }
 
-        test("a caller that leaves ends its attempt and frees its place") {
+        test("a caller that disconnects cancels its attempt and frees its slot") {
             runTest {
                 val scene = Scene(this, STREAM, 2, Behaviour.Silent(listOf(head(), event(1))))
                 val running = launch { scene.run() }
--- a/traffic/src/test/kotlin/lagoonrudder/traffic/direct/EventSplitterTest.kt
+++ b/traffic/src/test/kotlin/lagoonrudder/traffic/direct/EventSplitterTest.kt
@@ -9,7 +9,7 @@
     FunSpec({
         val text = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n"
 
-        test("events are whole whatever pieces they arrive in") {
+        test("events are complete however their bytes are fragmented") {
             for (size in 1..text.length) {
                 val splitter = EventSplitter()
                 val events =
@@ -17,22 +17,22 @@
                         .encodeToByteArray()
                         .toList()
                         .chunked(size)
-                        .flatMap { splitter.take(it.toByteArray()) }
+                        .flatMap { splitter.feed(it.toByteArray()) }
                 events.map { it.id } shouldContainExactly listOf(EventId(1), EventId(2))
                 events.joinToString("") { it.bytes.decodeToString() } shouldBe text
-                splitter.midEvent shouldBe false
+                splitter.hasPartialEvent shouldBe false
             }
         }
 
-        test("an event that never ends is noticed") {
+        test("an event that exceeds the size limit is detected") {
             val splitter = EventSplitter()
-            repeat(300) { splitter.take(ByteArray(1_000) { 'x'.code.toByte() }) }
+            repeat(300) { splitter.feed(ByteArray(1_000) { 'x'.code.toByte() }) }
             splitter.overflowed shouldBe true
         }
 
-        test("half an event is kept back") {
+        test("an incomplete event is held back") {
             val splitter = EventSplitter()
-            splitter.take("id: 1\ndata: a\n\nid: 2\nda".encodeToByteArray()).map { it.id } shouldContainExactly listOf(EventId(1))
-            splitter.midEvent shouldBe true
+            splitter.feed("id: 1\ndata: a\n\nid: 2\nda".encodeToByteArray()).map { it.id } shouldContainExactly listOf(EventId(1))
+            splitter.hasPartialEvent shouldBe true
         }
     })
