--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectFilters.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectFilters.kt
@@ -66,7 +66,7 @@
     ): Refusal? {
         val request = call.request
         val route = serving.route(request.host, request.path.substringBefore('?')) ?: return Refusal.UnknownRoute
-        val customer = request.key?.let { serving.customerOf(it) }
+        val customer = request.apiKey?.let { serving.customerOf(it) }
         if (serving.asksForKeys && !route.open && customer == null) return Refusal.UnknownCustomer
         val service = pickService(route) ?: return Refusal.NoTarget(RETRY_AFTER)
         val limit = request.timeLeft?.let { minOf(route.timeout, it) } ?: route.timeout
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectMessages.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectMessages.kt
@@ -22,7 +22,7 @@
     val method: String,
     val host: String,
     val path: String,
-    val key: String?,
+    val apiKey: String?,
     val timeLeft: Duration?,
     val resumeAfter: EventId?,
     val promptTokens: Int?,
