--- a/control/src/main/kotlin/lagoonrudder/control/direct/PlacementController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/PlacementController.kt
@@ -50,7 +50,7 @@
     val service: ServiceId,
     val customer: CustomerId?,
     val priority: Int,
-    val homes: List<Set<RegionId>>,
+    val homeRegions: List<Set<RegionId>>,
     val excluded: Set<TargetId>,
     val number: WeightNumber?,
     val promptTokens: Int,
@@ -113,7 +113,7 @@
     }
 
     /** Removes a queued request whose caller has disconnected. */
-    fun cancelWaiting(decision: CompletableDeferred<Placement>) {
+    fun withdraw(decision: CompletableDeferred<Placement>) {
         queue.removeAll { it.result === decision }
     }
 
@@ -191,7 +191,7 @@
         now: Duration,
     ): Boolean {
         val region = topology.regions[backEnd.domain]
-        val inHomeRegions = request.homes.all { it.isEmpty() || region in it }
+        val inHomeRegions = request.homeRegions.all { it.isEmpty() || region in it }
         val isOpen =
             !backEnd.leaving &&
                 backEnd.domain !in storeView.evacuated &&
--- a/control/src/main/kotlin/lagoonrudder/control/direct/StoreViewController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/StoreViewController.kt
@@ -14,8 +14,8 @@
 import lagoonrudder.model.Invariant
 import lagoonrudder.model.Invariants
 import lagoonrudder.model.ModelId
-import lagoonrudder.model.Published
-import lagoonrudder.model.ServingSet
+import lagoonrudder.model.StoreRecord
+import lagoonrudder.model.ServingConfiguration
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.WeightNumber
@@ -33,7 +33,7 @@
 /** An item together with its decoded value; [published] is null for a removed item. */
 class DecodedItem(
     val item: StoreItem,
-    val published: Published?,
+    val published: StoreRecord?,
 )
 
 /** The version of a model that back ends must hold, and the time at which this process learned of it. */
@@ -45,7 +45,7 @@
 
 /** The changes that a batch of items caused; [evacuated] is null if the set of evacuated failure domains did not change. */
 data class StoreViewChange(
-    val serving: ServingSet?,
+    val serving: ServingConfiguration?,
     val added: List<BackEnd>,
     val changed: List<BackEnd>,
     val removed: List<TargetId>,
@@ -86,7 +86,7 @@
     var at = 0L
         private set
 
-    var serving: ServingSet? = null
+    var serving: ServingConfiguration? = null
         private set
 
     var evacuated: Set<DomainId> = emptySet()
@@ -221,14 +221,14 @@
         val changed = mutableListOf<BackEnd>()
         val declared = mutableListOf<DeclaredWeights>()
         val unusable = mutableListOf<String>()
-        var next: ServingSet? = null
+        var next: ServingConfiguration? = null
         for (change in applied) {
             when (val published = change.published) {
-                is Published.Serving -> next = newerOf(published.set, next)
-                is Published.Registered -> if (register(published.backEnd)) added += published.backEnd else changed += published.backEnd
-                is Published.Declared -> declare(published, now, first)?.let { declared += it }
-                is Published.Unusable -> unusable += "${change.item.key}: ${published.detail}"
-                is Published.Evacuated, null -> Unit
+                is StoreRecord.Configuration -> next = newerOf(published.set, next)
+                is StoreRecord.Registered -> if (register(published.backEnd)) added += published.backEnd else changed += published.backEnd
+                is StoreRecord.VersionDeclaration -> declare(published, now, first)?.let { declared += it }
+                is StoreRecord.Unreadable -> unusable += "${change.item.key}: ${published.detail}"
+                is StoreRecord.DomainEvacuation, null -> Unit
             }
         }
         next?.let { serving = it }
@@ -238,9 +238,9 @@
     }
 
     private fun newerOf(
-        offered: ServingSet,
-        before: ServingSet?,
-    ): ServingSet? {
+        offered: ServingConfiguration,
+        before: ServingConfiguration?,
+    ): ServingConfiguration? {
         val current = before ?: serving
         val isNewer = current == null || offered.revision > current.revision
         invariants.check(isNewer, Invariant.CONFIGURATION_NEVER_REVERTS, Step.ACCEPT_CONFIGURATION) {
@@ -259,7 +259,7 @@
         change: DecodedItem,
         hold: Boolean,
     ): TargetId? {
-        if (change.published is Published.Registered) return null
+        if (change.published is StoreRecord.Registered) return null
         val id = backEndsById.keys.firstOrNull { change.item.key.endsWith("/${it.text}") } ?: return null
         if (hold && change.item.value == null) {
             pendingRemovals[id] = PendingRemoval(change.item, graceUntil)
@@ -271,7 +271,7 @@
     }
 
     private fun declare(
-        offered: Published.Declared,
+        offered: StoreRecord.VersionDeclaration,
         now: Duration,
         first: Boolean,
     ): DeclaredWeights? {
@@ -284,7 +284,7 @@
     }
 
     private fun changedEvacuation(): Set<DomainId>? {
-        val next = items.values.mapNotNullTo(mutableSetOf()) { (it.published as? Published.Evacuated)?.domain }
+        val next = items.values.mapNotNullTo(mutableSetOf()) { (it.published as? StoreRecord.DomainEvacuation)?.domain }
         if (next == evacuated) return null
         evacuated = next
         return next
--- a/control/src/main/kotlin/lagoonrudder/control/direct/SwitchSchedule.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/SwitchSchedule.kt
@@ -66,7 +66,7 @@
             ?.routes
             .orEmpty()
             .filter { route -> route.shares.any { it.service == service } }
-            .all { it.kind.repeatable && it.attempts > 1 }
+            .all { it.kind.retryable && it.attempts > 1 }
 
     private companion object {
         /** Copying the weights over a target's link takes three seconds, less if it overlaps with the transfer from the origin. */
--- a/control/src/test/kotlin/lagoonrudder/control/direct/PlacementControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/direct/PlacementControllerTest.kt
@@ -12,7 +12,7 @@
 import lagoonrudder.model.CustomerId
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.HeldWeights
-import lagoonrudder.model.Published
+import lagoonrudder.model.StoreRecord
 import lagoonrudder.model.Refusal
 import lagoonrudder.model.RegionId
 import lagoonrudder.model.TargetId
@@ -38,14 +38,14 @@
         PlacementController(Topology(NEAR, REGIONS), PlacementBounds(8.seconds, 1.5, 5.0), storeView, peers, slots, Random(1))
 
     init {
-        storeView.applyChanges(listOf(item("op/config", 1, Published.Serving(servingSet(1, cold)))), 1, 10.seconds)
+        storeView.applyChanges(listOf(item("op/config", 1, StoreRecord.Configuration(servingSet(1, cold)))), 1, 10.seconds)
         storeView.applyChanges(backEnds.mapIndexed { index, each -> registered(each, index + 2L) }, 50, 10.seconds)
     }
 
     fun place(
         maxWait: Duration = Duration.ZERO,
         customer: String? = null,
-        homes: List<Set<RegionId>> = emptyList(),
+        homeRegions: List<Set<RegionId>> = emptyList(),
         excluded: Set<TargetId> = emptySet(),
         number: Long? = null,
         promptTokens: Int = 0,
@@ -55,7 +55,7 @@
             ENGINES,
             customer?.let { CustomerId(it) },
             1,
-            homes,
+            homeRegions,
             excluded,
             number?.let { WeightNumber(it) },
             promptTokens,
@@ -67,13 +67,13 @@
 
     fun declare(number: Long) =
         storeView.applyChanges(
-            listOf(item("op/version/model", 60 + number, Published.Declared(MODEL, WeightNumber(number)))),
+            listOf(item("op/version/model", 60 + number, StoreRecord.VersionDeclaration(MODEL, WeightNumber(number)))),
             60 + number,
             now,
         )
 
     fun evacuate(domain: DomainId) =
-        storeView.applyChanges(listOf(item("op/evacuate/${domain.text}", 90, Published.Evacuated(domain))), 90, now)
+        storeView.applyChanges(listOf(item("op/evacuate/${domain.text}", 90, StoreRecord.DomainEvacuation(domain))), 90, now)
 }
 
 @OptIn(ExperimentalCoroutinesApi::class)
@@ -144,7 +144,7 @@
             repeat(5) { scene.place() }
             val first = scene.place(maxWait = 1.seconds)
             val second = scene.place(maxWait = 1.seconds)
-            scene.placement.cancelWaiting(first)
+            scene.placement.withdraw(first)
             scene.placement.onAttemptEnded(TargetId("a"), null, AttemptOutcome.ANSWERED, scene.now)
             second.target shouldBe TargetId("a")
         }
@@ -189,8 +189,8 @@
 
         test("a back end must be in the home regions of both the route and the customer") {
             val scene = Scene(listOf(backEnd("a"), backEnd("c", FAR)))
-            scene.place(homes = listOf(setOf(RegionId("far-region")), emptySet())).target shouldBe TargetId("c")
-            val unplaceable = scene.place(homes = listOf(setOf(RegionId("far-region")), setOf(RegionId("near-region"))))
+            scene.place(homeRegions = listOf(setOf(RegionId("far-region")), emptySet())).target shouldBe TargetId("c")
+            val unplaceable = scene.place(homeRegions = listOf(setOf(RegionId("far-region")), setOf(RegionId("near-region"))))
             unplaceable.getCompleted().shouldBeInstanceOf<Placement.Refused>()
         }
 
--- a/control/src/test/kotlin/lagoonrudder/control/direct/SharesTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/direct/SharesTest.kt
@@ -11,7 +11,7 @@
 import lagoonrudder.control.strictInvariants
 import lagoonrudder.model.Address
 import lagoonrudder.model.HeldWeights
-import lagoonrudder.model.Published
+import lagoonrudder.model.StoreRecord
 import lagoonrudder.model.RequestKind
 import lagoonrudder.model.WeightNumber
 import kotlin.time.Duration.Companion.milliseconds
@@ -82,7 +82,7 @@
             val peers = PeerController(peer("self"), emptyList())
             peers.onGossipReceived(peer("near-entry"), emptyMap(), 10.seconds)
             peers.onGossipReceived(peer("far-entry", FAR), emptyMap(), 10.seconds)
-            storeView.applyChanges(listOf(item("op/config", 1, Published.Serving(servingSet(1)))), 1, 1.seconds)
+            storeView.applyChanges(listOf(item("op/config", 1, StoreRecord.Configuration(servingSet(1)))), 1, 1.seconds)
             storeView.applyChanges((1..8).map { registered(backEnd("b$it"), it + 1L) }, 9, 2.seconds)
             return storeView to StagingController(peers, storeView, SwitchSchedule(storeView), REGIONS)
         }
@@ -91,7 +91,7 @@
             storeView: StoreViewController,
             number: Long,
         ) = storeView.applyChanges(
-            listOf(item("op/version/model", 20 + number, Published.Declared(MODEL, WeightNumber(number)))),
+            listOf(item("op/version/model", 20 + number, StoreRecord.VersionDeclaration(MODEL, WeightNumber(number)))),
             20 + number,
             10.seconds,
         )
@@ -177,7 +177,7 @@
             val first = WeightNumber(2)
             declare(storeView, 2)
             val before = storeView.backEnds.map { staging.scheduledSwitch(ENGINES, it.address, report(1), first).shouldNotBeNull().at }
-            storeView.applyChanges(listOf(item("op/version/model", 23, Published.Declared(MODEL, WeightNumber(3)))), 23, 12.seconds)
+            storeView.applyChanges(listOf(item("op/version/model", 23, StoreRecord.VersionDeclaration(MODEL, WeightNumber(3)))), 23, 12.seconds)
             storeView.backEnds.map { staging.scheduledSwitch(ENGINES, it.address, report(1), first).shouldNotBeNull().at } shouldBe before
         }
 
@@ -201,8 +201,8 @@
 
         test("no back end aborts requests of a service that has a route whose requests can't be resumed elsewhere") {
             val (storeView, staging) = scene()
-            val set = servingSet(2).copy(routes = listOf(route(RequestKind.Stream(resumable = false, longestPause = null))))
-            storeView.applyChanges(listOf(item("op/config", 15, Published.Serving(set))), 15, 9.seconds)
+            val set = servingSet(2).copy(routes = listOf(route(RequestKind.Stream(resumable = false, maxEventGap = null))))
+            storeView.applyChanges(listOf(item("op/config", 15, StoreRecord.Configuration(set))), 15, 9.seconds)
             declare(storeView, 2)
             val switches =
                 storeView.backEnds.map {
--- a/control/src/test/kotlin/lagoonrudder/control/direct/StoreViewControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/direct/StoreViewControllerTest.kt
@@ -8,7 +8,7 @@
 import io.kotest.matchers.nulls.shouldNotBeNull
 import io.kotest.matchers.shouldBe
 import lagoonrudder.control.strictInvariants
-import lagoonrudder.model.Published
+import lagoonrudder.model.StoreRecord
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.WeightNumber
 import kotlin.time.Duration.Companion.milliseconds
@@ -20,8 +20,8 @@
 
         test("an older configuration never replaces a newer one, whatever its source") {
             val storeView = StoreViewController(strictInvariants())
-            storeView.applyChanges(listOf(item("op/config", 7, Published.Serving(servingSet(9)))), 7, start)
-            storeView.applyChanges(listOf(item("op/config", 5, Published.Serving(servingSet(4)))), 8, start)
+            storeView.applyChanges(listOf(item("op/config", 7, StoreRecord.Configuration(servingSet(9)))), 7, start)
+            storeView.applyChanges(listOf(item("op/config", 5, StoreRecord.Configuration(servingSet(4)))), 8, start)
             storeView.serving?.revision?.number shouldBe 9
         }
 
@@ -61,26 +61,26 @@
         test("a registration that becomes unreadable removes its back end") {
             val storeView = StoreViewController(strictInvariants())
             storeView.applyChanges(listOf(registered(backEnd("a"), 1)), 1, start)
-            storeView.applyChanges(listOf(item("servers/a", 2, Published.Unusable("field slots"))), 2, start).unusable.size shouldBe 1
+            storeView.applyChanges(listOf(item("servers/a", 2, StoreRecord.Unreadable("field slots"))), 2, start).unusable.size shouldBe 1
             storeView.backEnds.size shouldBe 0
         }
 
         test("a declared version never decreases") {
             val storeView = StoreViewController(strictInvariants())
-            storeView.applyChanges(listOf(item("op/version/model", 3, Published.Declared(MODEL, WeightNumber(2)))), 3, start)
-            storeView.applyChanges(listOf(item("op/version/model", 4, Published.Declared(MODEL, WeightNumber(1)))), 4, start + 1.seconds)
+            storeView.applyChanges(listOf(item("op/version/model", 3, StoreRecord.VersionDeclaration(MODEL, WeightNumber(2)))), 3, start)
+            storeView.applyChanges(listOf(item("op/version/model", 4, StoreRecord.VersionDeclaration(MODEL, WeightNumber(1)))), 4, start + 1.seconds)
             storeView.declared(MODEL).shouldNotBeNull().number shouldBe WeightNumber(2)
         }
 
         test("a version that was declared before the start gets the assumed age") {
             val storeView = StoreViewController(strictInvariants(), ageAtStart = 6.seconds)
-            storeView.applyChanges(listOf(item("op/version/model", 3, Published.Declared(MODEL, WeightNumber(2)))), 3, start)
+            storeView.applyChanges(listOf(item("op/version/model", 3, StoreRecord.VersionDeclaration(MODEL, WeightNumber(2)))), 3, start)
             storeView.declaredAsOf(MODEL, start - 6.seconds).shouldNotBeNull().number shouldBe WeightNumber(2)
         }
 
         test("a failure domain is no longer evacuated after its item is removed") {
             val storeView = StoreViewController(strictInvariants())
-            storeView.applyChanges(listOf(item("op/evacuate/near", 3, Published.Evacuated(NEAR))), 3, start).evacuated shouldBe setOf(NEAR)
+            storeView.applyChanges(listOf(item("op/evacuate/near", 3, StoreRecord.DomainEvacuation(NEAR))), 3, start).evacuated shouldBe setOf(NEAR)
             storeView.applyChanges(listOf(item("op/evacuate/near", 4, null)), 4, start).evacuated shouldBe emptySet()
         }
 
@@ -94,7 +94,7 @@
 
         test("after a pause the view is unconfirmed until the store or a peer responds") {
             val storeView = StoreViewController(strictInvariants())
-            storeView.applyChanges(listOf(item("op/config", 1, Published.Serving(servingSet(1)))), 1, start)
+            storeView.applyChanges(listOf(item("op/config", 1, StoreRecord.Configuration(servingSet(1)))), 1, start)
             storeView.confirmed shouldBe true
             storeView.requireConfirmation()
             storeView.confirmed shouldBe false
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PieceCache.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/ChunkCache.kt
@@ -22,9 +22,9 @@
 import lagoonrudder.model.WeightNumber
 import kotlin.time.Duration.Companion.milliseconds
 
-class PieceCache(
+class ChunkCache(
     private val core: DirectCore,
-    private val sources: PieceSources,
+    private val sources: WeightFetcher,
 ) {
     private data class PieceKey(
         val model: ModelId,
@@ -61,7 +61,7 @@
      * Draws a version that was just declared, before anybody asks for it: an origin that fails soon after has then given
      * part of it. Goes on until the manifest is there or a newer version is declared.
      */
-    suspend fun prepare(declared: DeclaredWeights) {
+    suspend fun prefetch(declared: DeclaredWeights) {
         while (core.thread.decide { core.storeView.declared(declared.model) } == declared) {
             if (manifest(declared.model, declared.number).isRight()) return
             delay(PREPARE_PAUSE)
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectCore.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectCore.kt
@@ -19,7 +19,7 @@
 import lagoonrudder.daemon.observe.DaemonMetrics
 import lagoonrudder.daemon.observe.EventLog
 import lagoonrudder.http.HttpClient
-import lagoonrudder.http.HttpLoop
+import lagoonrudder.http.HttpEventLoop
 import lagoonrudder.model.Clock
 import lagoonrudder.model.Invariants
 import kotlin.time.Duration.Companion.seconds
@@ -29,10 +29,10 @@
     val clock: Clock,
 ) : AutoCloseable {
     val log = EventLog(settings.name.text)
-    val invariants = Invariants { log.violated(it) }
+    val invariants = Invariants { log.invariantViolated(it) }
     val thread = ControlThread.start(settings.name.text, clock, invariants)
     val metrics = DaemonMetrics(thread, invariants)
-    val loop = HttpLoop("traffic")
+    val loop = HttpEventLoop("traffic")
     val scope =
         CoroutineScope(
             SupervisorJob() + loop.dispatcher +
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntry.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntryDaemon.kt
@@ -14,10 +14,10 @@
 import lagoonrudder.http.HttpServer
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.TargetId
-import lagoonrudder.platform.BackEndEnd
-import lagoonrudder.platform.CallerEnd
+import lagoonrudder.platform.BackEndHttpClient
+import lagoonrudder.platform.CallerRequestHandler
 import lagoonrudder.platform.DEFAULT_LIMITS
-import lagoonrudder.platform.ReadyEnd
+import lagoonrudder.platform.ReadinessRequestHandler
 import lagoonrudder.traffic.FilterChain
 import lagoonrudder.traffic.direct.DirectCall
 import lagoonrudder.traffic.direct.DirectControl
@@ -26,10 +26,10 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-class DirectEntry(
+class DirectEntryDaemon(
     core: DirectCore,
 ) : DirectDaemon(core),
-    DirectView {
+    DirectDiagnostics {
     private val settings = core.settings
     private val random = Random(System.nanoTime())
     private val placement =
@@ -42,13 +42,13 @@
             random,
         )
     private val control =
-        DirectControl(core.thread, core.clock, core.storeView, core.peers, placement, RetryBudgetShare(settings.bounds.repeats))
+        DirectControl(core.thread, core.clock, core.storeView, core.peers, placement, RetryBudgetShare(settings.bounds.retryBudget))
     private val client = PeerClient(core.http)
-    private val store = StoreLoop(core, needed = { true }, changed = ::onStoreViewChanged)
-    private val peers = PeerLoop(core, client, loads = placement::inFlight, changed = ::onStoreViewChanged)
-    private val pieces = PieceCache(core, PieceSources(core, client))
-    private val pauses = PauseWatch(core.clock)
-    private var prepared = emptyList<DeclaredWeights>()
+    private val store = StoreSyncLoop(core, isNeeded = { true }, onChange = ::onStoreViewChanged)
+    private val peers = GossipLoop(core, client, loads = placement::inFlight, onChange = ::onStoreViewChanged)
+    private val pieces = ChunkCache(core, WeightFetcher(core, client))
+    private val pauses = PauseDetector(core.clock)
+    private var prefetchedVersions = emptyList<DeclaredWeights>()
     private var callers: HttpServer? = null
 
     @Volatile
@@ -60,11 +60,11 @@
 
     override suspend fun start() {
         val listen = checkNotNull(settings.listen)
-        val chain = FilterChain(directFilters(control, BackEndEnd(core.http), random, ::ended))
+        val chain = FilterChain(directFilters(control, BackEndHttpClient(core.http), random, ::ended))
         val endpoint = PeerEndpoint(core, pieces, placement::inFlight, ::onStoreViewChanged)
         HttpServer.start(core.loop, core.scope, listen.peers, { HttpServer.PEER_LIMITS }, endpoint)
-        HttpServer.start(core.loop, core.scope, listen.ready, { HttpServer.PEER_LIMITS }, ReadyEnd { ready() })
-        callers = HttpServer.start(core.loop, core.scope, listen.callers, { limits }, CallerEnd(chain, core.clock))
+        HttpServer.start(core.loop, core.scope, listen.ready, { HttpServer.PEER_LIMITS }, ReadinessRequestHandler { ready() })
+        callers = HttpServer.start(core.loop, core.scope, listen.callers, { limits }, CallerRequestHandler(chain, core.clock))
         serveOperators(this)
         core.scope.launch { store.run() }
         core.scope.launch { peers.run() }
@@ -76,15 +76,15 @@
         val started = core.clock.elapsed()
         val server = callers ?: return
         leaving = true
-        core.log.info("leaving", "in-hand" to server.inHand)
+        core.log.info("leaving", "in-hand" to server.activeRequests)
         delay(BALANCER_NOTICES)
-        server.retire()
+        server.drain()
         val last = started + settings.bounds.stopGrace - STOP_MARGIN
         delay(RETIRE_NOTICE)
         // A request that was read just before the process ends would get no answer.
         server.stopReading()
-        while (server.inHand > 0 && core.clock.elapsed() < last) delay(STOP_CHECK)
-        core.log.info("stopped", "in-hand" to server.inHand, "took" to core.clock.elapsed() - started)
+        while (server.activeRequests > 0 && core.clock.elapsed() < last) delay(STOP_CHECK)
+        core.log.info("stopped", "in-hand" to server.activeRequests, "took" to core.clock.elapsed() - started)
     }
 
     /** Something that this process believes has changed; runs on the control thread. */
@@ -92,8 +92,8 @@
         limits = core.storeView.serving?.limits ?: DEFAULT_LIMITS
         control.onStoreViewChanged()
         val newest = core.storeView.newest
-        (newest - prepared.toSet()).forEach { core.scope.launch { pieces.prepare(it) } }
-        prepared = newest
+        (newest - prefetchedVersions.toSet()).forEach { core.scope.launch { pieces.prefetch(it) } }
+        prefetchedVersions = newest
     }
 
     private suspend fun ready() = !leaving && core.thread.decide { core.storeView.confirmed }
@@ -106,8 +106,8 @@
             gone.forEach { core.log.info("back-end-gone", "target" to it.text, "source" to "lapsed") }
             if (pause != null) {
                 core.log.warning("paused", "for" to pause)
-                core.http.forget(settings.store)
-                store.hurry()
+                core.http.closeIdle(settings.store)
+                store.pollNow()
             }
         }
     }
@@ -130,8 +130,8 @@
     ) {
         val context = call.contextOrNull
         val took = core.clock.elapsed() - call.receivedAt
-        if (outcome == null) core.metrics.callerLeft(took) else core.metrics.requestEnded(outcome, took)
-        call.timeToFirstEvent?.let { core.metrics.firstEvent(it) }
+        if (outcome == null) core.metrics.recordCallerDisconnect(took) else core.metrics.recordRequest(outcome, took)
+        call.timeToFirstEvent?.let { core.metrics.recordFirstEvent(it) }
         core.log.info(
             "request-ended",
             "request" to call.request.request.text,
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StagingLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StagingLoop.kt
@@ -24,17 +24,17 @@
 import lagoonrudder.control.direct.WeightsToLoad
 import lagoonrudder.model.WeightNumber
 import lagoonrudder.model.digestOf
-import lagoonrudder.platform.SlotCalls
+import lagoonrudder.platform.SlotClient
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
 class StagingLoop(
     private val core: DirectCore,
-    private val slot: DirectSlot,
-    private val peers: PeerLoop,
-    private val sources: PieceSources,
+    private val slot: DirectSlotSettings,
+    private val peers: GossipLoop,
+    private val sources: WeightFetcher,
 ) {
-    private val backEnd = SlotCalls(core.http, slot.backEnd)
+    private val backEnd = SlotClient(core.http, slot.backEnd)
     private var manifest: WeightManifest? = null
     private val sound = mutableSetOf<Int>()
     private var verifiedAt: Duration? = null
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PieceSources.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/WeightFetcher.kt
@@ -16,9 +16,9 @@
 import lagoonrudder.model.Step
 import lagoonrudder.model.WeightNumber
 import lagoonrudder.model.digestOf
-import lagoonrudder.platform.OriginCalls
+import lagoonrudder.platform.OriginClient
 
-class PieceSources(
+class WeightFetcher(
     private val core: DirectCore,
     private val peers: PeerClient,
 ) {
@@ -30,7 +30,7 @@
         first(sources, "manifest ${model.text}") { source ->
             when (source) {
                 is WeightSource.Entry -> peers.manifest(source.address, model, number)
-                is WeightSource.Origin -> OriginCalls(core.http, source.address).manifest(model, number)
+                is WeightSource.Origin -> OriginClient(core.http, source.address).manifest(model, number)
             }
         }
 
@@ -44,7 +44,7 @@
                 when (source) {
                     is WeightSource.Entry -> peers.piece(source.address, manifest.model, manifest.number, index)
                     is WeightSource.Origin ->
-                        OriginCalls(core.http, source.address).piece(manifest.model, manifest.number, index)
+                        OriginClient(core.http, source.address).piece(manifest.model, manifest.number, index)
                 }
             drawn.flatMap { bytes ->
                 val sound = digestOf(bytes) == manifest.digests[index]
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/Demo.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/Demo.kt
@@ -11,11 +11,11 @@
 import kotlinx.coroutines.isActive
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.runBlocking
-import lagoonrudder.control.RepeatPolicy
+import lagoonrudder.control.IdempotencyPolicy
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.ObjectChanges
 import lagoonrudder.model.ObjectSet
-import lagoonrudder.model.Service
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.SystemClock
 import lagoonrudder.model.VersionId
 import java.util.concurrent.ConcurrentHashMap
@@ -30,7 +30,7 @@
 fun main(arguments: Array<String>) {
     allowManyServers()
     val names = if (arguments.firstOrNull() == "tadla") tadla else festival
-    val verdict = runBlocking { Demo(names, site { build = { repeats = RepeatPolicy(clockSkew = 200.milliseconds) } }).run() }
+    val verdict = runBlocking { Demo(names, site { build = { repeats = IdempotencyPolicy(clockSkew = 200.milliseconds) } }).run() }
     exitProcess(if (verdict) 0 else 1)
 }
 
@@ -145,7 +145,7 @@
         val domain = DomainId(names.domains.last())
         say("taking failure domain ${domain.text} out of service")
         val published = clock.elapsed()
-        site.publish(withService(objects, domain, Service.OUT))
+        site.publish(withService(objects, domain, AdminState.OUT))
         delay(OUT_LIMIT)
         val begunAtLimit = begunIn(domain)
         delay(OUT_WATCH)
@@ -221,7 +221,7 @@
 fun withService(
     objects: ObjectSet,
     domain: DomainId,
-    service: Service,
+    service: AdminState,
 ): ObjectSet {
     val changed = objects.domains.getValue(domain).copy(service = service)
     return objects.plus(ObjectChanges(listOf(changed), emptyList()))
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/DirectSite.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/DirectSite.kt
@@ -15,13 +15,13 @@
 import lagoonrudder.control.direct.RetryBudgetBounds
 import lagoonrudder.daemon.direct.DirectBounds
 import lagoonrudder.daemon.direct.DirectCore
-import lagoonrudder.daemon.direct.DirectListen
+import lagoonrudder.daemon.direct.DirectListenSettings
 import lagoonrudder.daemon.direct.DirectSettings
-import lagoonrudder.daemon.direct.DirectSlot
+import lagoonrudder.daemon.direct.DirectSlotSettings
 import lagoonrudder.daemon.direct.directDaemon
 import lagoonrudder.http.HttpClient
 import lagoonrudder.http.HttpHandler
-import lagoonrudder.http.HttpLoop
+import lagoonrudder.http.HttpEventLoop
 import lagoonrudder.http.HttpRequest
 import lagoonrudder.http.HttpResponse
 import lagoonrudder.http.HttpServer
@@ -46,7 +46,7 @@
     entries: Int,
     workers: Int,
 ) : AutoCloseable {
-    private val loop = HttpLoop("site")
+    private val loop = HttpEventLoop("site")
     private val scope = CoroutineScope(SupervisorJob() + loop.dispatcher)
     private val clock = SystemClock()
     private val client = HttpClient(loop, clock)
@@ -58,14 +58,14 @@
     private val storeAddress = listen(store)
     private val originAddress = listen(origin)
     private val workerAddresses = this.workers.map { listen(it) }
-    private val entryListens = (1..entries).map { DirectListen(free(), free(), free()) }
+    private val entryListens = (1..entries).map { DirectListenSettings(free(), free(), free()) }
     private var requests = 0
 
     init {
         onLoop { publish(revision = 1) }
         entryListens.forEachIndexed { index, listen -> start(settings("entry-$index", DaemonRole.ENTRY, listen, null)) }
         workerAddresses.forEachIndexed { index, address ->
-            start(settings("target-$index", DaemonRole.TARGET, null, DirectSlot(SERVICE, address)))
+            start(settings("target-$index", DaemonRole.TARGET, null, DirectSlotSettings(SERVICE, address)))
         }
     }
 
@@ -165,8 +165,8 @@
     private fun settings(
         name: String,
         role: DaemonRole,
-        listen: DirectListen?,
-        slot: DirectSlot?,
+        listen: DirectListenSettings?,
+        slot: DirectSlotSettings?,
     ) = DirectSettings(
         name = DaemonId(name),
         role = role,
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/WorkerStandIn.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/WorkerStandIn.kt
@@ -16,7 +16,7 @@
 import kotlinx.serialization.json.putJsonObject
 import lagoonrudder.http.HttpExchange
 import lagoonrudder.http.HttpHandler
-import lagoonrudder.http.HttpHead
+import lagoonrudder.http.HttpResponseHead
 import lagoonrudder.http.HttpRequest
 import lagoonrudder.http.NO_BYTES
 import lagoonrudder.model.HeaderField
@@ -151,7 +151,7 @@
     ) {
         ran += exchange.request
         when (mood) {
-            WorkerMood.RESETS_BEFORE_ANSWER -> return exchange.breakOff()
+            WorkerMood.RESETS_BEFORE_ANSWER -> return exchange.abort()
             WorkerMood.SILENT -> delay(SILENCE)
             else -> Unit
         }
@@ -161,12 +161,12 @@
                 HeaderField("Response-Stamp", "stamp-$id"),
                 HeaderField("Weight-Versions", held.toString()),
             )
-        exchange.begin(HttpHead(200, fields))
+        exchange.begin(HttpResponseHead(200, fields))
         val first = (exchange.request.field("Last-Event-Id")?.toInt() ?: 0) + 1
         for (event in first..EVENTS) {
             if (event == EVENTS / 2 && mood == WorkerMood.BREAKS_OFF) {
                 exchange.write("id: $event\nda".encodeToByteArray())
-                return exchange.breakOff()
+                return exchange.abort()
             }
             exchange.write("id: $event\ndata: $event\n\n".encodeToByteArray())
             delay(EVENT_PAUSE)
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualCaller.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualCaller.kt
@@ -7,7 +7,7 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import lagoonrudder.model.Failure
 import lagoonrudder.model.Outcome
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.VersionId
 import lagoonrudder.standins.CallEnd
 import lagoonrudder.standins.TextCall
@@ -80,7 +80,7 @@
     entry: VirtualEntry,
     path: String,
     token: String,
-    key: RepeatKey,
+    key: IdempotencyKey,
     body: String,
     limit: Duration,
 ): CallEnd {
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/RandomRunsTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/RandomRunsTest.kt
@@ -9,7 +9,7 @@
 import io.kotest.matchers.shouldBe
 import kotlinx.coroutines.flow.Flow
 import kotlinx.coroutines.flow.map
-import lagoonrudder.control.RepeatDecision
+import lagoonrudder.control.IdempotencyDecision
 import lagoonrudder.model.Failure
 import lagoonrudder.model.Instance
 import lagoonrudder.standins.measure.runOnce
@@ -60,8 +60,8 @@
         target: Instance,
         request: ReserveRequest,
         limit: Duration,
-    ): Either<Failure, RepeatDecision> =
-        link.reserve(target, request, limit).fold({ RepeatDecision.Uncertain(it.detail).right() }, { it.right() })
+    ): Either<Failure, IdempotencyDecision> =
+        link.reserve(target, request, limit).fold({ IdempotencyDecision.Uncertain(it.detail).right() }, { it.right() })
 }
 
 class RandomRunsTest :
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/WholePathTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/WholePathTest.kt
@@ -5,7 +5,7 @@
 import io.kotest.matchers.shouldBe
 import io.kotest.matchers.types.shouldBeInstanceOf
 import kotlinx.coroutines.delay
-import lagoonrudder.control.RepeatPolicy
+import lagoonrudder.control.IdempotencyPolicy
 import lagoonrudder.model.VersionId
 import kotlin.time.Duration.Companion.milliseconds
 
@@ -23,7 +23,7 @@
         }
 
         test("an order that may run at most once runs once, and its repeat at another entry gets the same answer") {
-            site { build = { repeats = RepeatPolicy(clockSkew = 50.milliseconds) } }.use { site ->
+            site { build = { repeats = IdempotencyPolicy(clockSkew = 50.milliseconds) } }.use { site ->
                 site.start(sampleObjects(festival))
                 site.awaitReady()
                 delay(100.milliseconds)
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/Messages.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/Messages.kt
@@ -5,9 +5,9 @@
 
 import arrow.core.Either
 import kotlinx.coroutines.flow.Flow
-import lagoonrudder.control.RepeatDecision
-import lagoonrudder.control.Room
-import lagoonrudder.control.Surrender
+import lagoonrudder.control.IdempotencyDecision
+import lagoonrudder.control.TargetLoad
+import lagoonrudder.control.SurrenderResult
 import lagoonrudder.control.SwitchReport
 import lagoonrudder.control.TargetReport
 import lagoonrudder.model.CustomerId
@@ -16,7 +16,7 @@
 import lagoonrudder.model.FleetId
 import lagoonrudder.model.Instance
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
 import lagoonrudder.model.VersionId
@@ -41,7 +41,7 @@
 
 /** The permission to run, now and once, a request that may run at most once. */
 data class RunPermit(
-    val key: RepeatKey,
+    val key: IdempotencyKey,
     val number: Long,
 )
 
@@ -66,10 +66,10 @@
 
 /** A part of the response to one attempt. */
 sealed class RunEvent {
-    /** The attempt did not run and will not run; [room] is the load of the target, if known. */
+    /** The attempt did not run and will not run; [load] is the load of the target, if known. */
     data class NotRun(
         val refusal: Refusal,
-        val room: Room?,
+        val load: TargetLoad?,
     ) : RunEvent()
 
     data class Head(
@@ -91,21 +91,21 @@
     data class End(
         val length: Long,
         val checksum: Long,
-        val room: Room?,
+        val load: TargetLoad?,
     ) : RunEvent()
 }
 
 data class ReserveRequest(
     val request: RequestId,
     val fleet: FleetId,
-    val key: RepeatKey,
+    val key: IdempotencyKey,
     val body: Digest,
     val revision: Revision,
 )
 
 /** The request of a key's new owner that a previous owner release the key. */
 data class SurrenderRequest(
-    val key: RepeatKey,
+    val key: IdempotencyKey,
     val revision: Revision,
 )
 
@@ -115,7 +115,7 @@
         target: Instance,
         request: ReserveRequest,
         limit: Duration,
-    ): Either<Failure, RepeatDecision>
+    ): Either<Failure, IdempotencyDecision>
 
     /** Runs one attempt; the flow ends after a failure, a refusal or the end mark. Cancelling the flow cancels the attempt. */
     fun run(
@@ -136,7 +136,7 @@
         target: Instance,
         request: SurrenderRequest,
         limit: Duration,
-    ): Either<Failure, Surrender>
+    ): Either<Failure, SurrenderResult>
 
     /** Closes the connection to [target]; the next call opens a new one. */
     fun reset(target: Instance)
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectCall.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectCall.kt
@@ -25,7 +25,7 @@
     val service: ServiceId,
     val deadline: Duration,
     val priority: Int,
-    val homes: List<Set<RegionId>>,
+    val homeRegions: List<Set<RegionId>>,
     val isLate: Boolean,
 ) {
     /** Returns the time left until the deadline. */
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectFilters.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectFilters.kt
@@ -10,7 +10,7 @@
 import lagoonrudder.model.ServiceId
 import lagoonrudder.model.ServingCustomer
 import lagoonrudder.model.ServingRoute
-import lagoonrudder.model.ServingSet
+import lagoonrudder.model.ServingConfiguration
 import lagoonrudder.model.Step
 import lagoonrudder.traffic.Filter
 import lagoonrudder.traffic.Next
@@ -62,12 +62,12 @@
 
     private fun identify(
         call: DirectCall,
-        serving: ServingSet,
+        serving: ServingConfiguration,
     ): Refusal? {
         val request = call.request
         val route = serving.route(request.host, request.path.substringBefore('?')) ?: return Refusal.UnknownRoute
-        val customer = request.apiKey?.let { serving.customerOf(it) }
-        if (serving.asksForKeys && !route.open && customer == null) return Refusal.UnknownCustomer
+        val customer = request.apiKey?.let { serving.customerByApiKey(it) }
+        if (serving.requiresApiKeys && !route.open && customer == null) return Refusal.UnknownCustomer
         val service = pickService(route) ?: return Refusal.NoTarget(RETRY_AFTER)
         val limit = request.timeLeft?.let { minOf(route.timeout, it) } ?: route.timeout
         call.identify(
@@ -78,7 +78,7 @@
                 service = service,
                 deadline = call.receivedAt + limit,
                 priority = customer?.priority ?: route.priority,
-                homes = listOf(route.homes, homeRegionsOf(customer)),
+                homeRegions = listOf(route.homeRegions, homeRegionsOf(customer)),
                 isLate = isLate(request, route),
             ),
         )
@@ -89,9 +89,9 @@
     private fun isLate(
         request: DirectRequest,
         route: ServingRoute,
-    ): Boolean = request.resumeAfter == null && request.timeLeft?.let { it < route.timeout - route.objective } ?: false
+    ): Boolean = request.resumeAfter == null && request.timeLeft?.let { it < route.timeout - route.latencyObjective } ?: false
 
-    private fun homeRegionsOf(customer: ServingCustomer?) = customer?.homes.orEmpty()
+    private fun homeRegionsOf(customer: ServingCustomer?) = customer?.homeRegions.orEmpty()
 
     private fun pickService(route: ServingRoute): ServiceId? {
         var remaining = random.nextDouble() * route.shares.sumOf { it.weight }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectSendFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectSendFilter.kt
@@ -141,7 +141,7 @@
                 service = context.service,
                 customer = context.customer?.id,
                 priority = priority,
-                homes = context.homes,
+                homeRegions = context.homeRegions,
                 excluded = excluded.toSet(),
                 number = relay.number,
                 promptTokens = call.request.promptTokens ?: 0,
@@ -168,14 +168,14 @@
     private fun maxWait(): Duration =
         when {
             relay.started -> limits.resume
-            call.attempts.isEmpty() -> context.route.objective * limits.maxWait
+            call.attempts.isEmpty() -> context.route.latencyObjective * limits.maxWait
             else -> RETRY_MAX_WAIT
         }
 
     /** Releases the slot of a request whose coroutine was cancelled while it waited; runs on the control thread. */
     @OptIn(ExperimentalCoroutinesApi::class)
     private fun releasePlacement(decision: CompletableDeferred<Placement>) {
-        if (!decision.isCompleted) return control.placement.cancelWaiting(decision)
+        if (!decision.isCompleted) return control.placement.withdraw(decision)
         val placed = decision.getCompleted() as? Placement.Placed ?: return
         control.placement.onAttemptEnded(placed.backEnd.id, context.customer?.id, AttemptOutcome.ABANDONED, control.clock.elapsed())
     }
@@ -245,7 +245,7 @@
     }
 
     private suspend fun awaitEvent(open: OpenAttempt): Next {
-        val mayRetry = kind.repeatable && runs + 1 < context.route.attempts
+        val mayRetry = kind.retryable && runs + 1 < context.route.attempts
         val limit = if (relay.started) limits.nextEvent else limits.firstEvent
         if (mayRetry && limit < context.timeLeft(control.clock)) {
             withTimeoutOrNull(limit) { open.next() }?.let { return Next.Event(it) }
@@ -269,7 +269,7 @@
     private suspend fun onLost(result: DirectAttemptResult.Lost): Outcome? {
         runs++
         mayHaveRun = result
-        val retry = kind.repeatable && runs < context.route.attempts && (result.timedOut || takeRetry())
+        val retry = kind.retryable && runs < context.route.attempts && (result.timedOut || takeRetry())
         return if (retry) null else finalOutcome(result.detail)
     }
 
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AccountingFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AccountingFilter.kt
@@ -29,7 +29,7 @@
         call: EntryCall,
         next: Next<EntryCall>,
     ): Outcome {
-        control.thread.decide { control.service.began() }
+        control.thread.decide { control.service.onRequestStarted() }
         try {
             val outcome = next.proceed(call)
             listener.ended(call, outcome, clock.elapsed() - call.receivedAt)
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AdmissionFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AdmissionFilter.kt
@@ -7,17 +7,17 @@
 import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.NonCancellable
 import kotlinx.coroutines.withContext
-import lagoonrudder.control.Dispatched
-import lagoonrudder.control.Need
-import lagoonrudder.control.QueueLine
-import lagoonrudder.control.Waiting
+import lagoonrudder.control.DispatchResult
+import lagoonrudder.control.RoutingRequest
+import lagoonrudder.control.QueueKey
+import lagoonrudder.control.QueuedRequest
 import lagoonrudder.control.keyOwners
 import lagoonrudder.control.ownerOf
 import lagoonrudder.control.prefixOf
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.Peer
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.traffic.Filter
@@ -37,9 +37,9 @@
         val owner = key?.let { keyOwnerOf(context, it) }
         if (key != null && owner == null) return Outcome.Refused(Refusal.NoTarget(RETRY), Step.CHOOSE_TARGET, Peer.SELF)
         call.ticket = ticketFor(context, owner)
-        return when (val dispatched = awaitDispatch(control, call.ticket) { enter(it) }) {
-            is Dispatched.Refused -> Outcome.Refused(dispatched.refusal, Step.ADMIT, Peer.SELF)
-            is Dispatched.Go -> {
+        return when (val dispatched = awaitDispatch(control, call.ticket) { enqueue(it) }) {
+            is DispatchResult.Refused -> Outcome.Refused(dispatched.refusal, Step.ADMIT, Peer.SELF)
+            is DispatchResult.Sent -> {
                 call.choice = dispatched
                 next.proceed(call)
             }
@@ -48,7 +48,7 @@
 
     private suspend fun keyOwnerOf(
         context: RequestContext,
-        key: RepeatKey,
+        key: IdempotencyKey,
     ): TargetId? {
         val set = control.thread.decide { control.configuration.current }
         return ownerOf(key, keyOwners(set.objects, context.fleet))
@@ -59,9 +59,9 @@
         owner: TargetId?,
     ): Ticket {
         val waiting =
-            Waiting(
+            QueuedRequest(
                 id = context.request,
-                line = QueueLine(context.fleet.id, owner),
+                queueKey = QueueKey(context.fleet.id, owner),
                 customer = context.customer.id,
                 weight = context.customer.weight,
                 priority = context.route.priority,
@@ -70,7 +70,7 @@
                 deadline = context.deadline,
             )
         val need =
-            Need(
+            RoutingRequest(
                 fleet = context.fleet.id,
                 owner = owner,
                 tokens = context.tokens,
@@ -90,9 +90,9 @@
 internal suspend fun awaitDispatch(
     control: EntryControl,
     ticket: Ticket,
-    join: EntryControl.(Ticket) -> Deferred<Dispatched>,
-): Dispatched {
-    var dispatched: Dispatched? = null
+    join: EntryControl.(Ticket) -> Deferred<DispatchResult>,
+): DispatchResult {
+    var dispatched: DispatchResult? = null
     val pending = control.thread.decide { control.join(ticket) }
     try {
         return pending.await().also { dispatched = it }
@@ -101,7 +101,7 @@
             withContext(NonCancellable) {
                 control.thread.decide {
                     val completed = if (pending.isCompleted) pending.getCompletedOrNull() else null
-                    if (completed is Dispatched.Go) control.ended(ticket, completed.target, failed = false) else control.leave(ticket)
+                    if (completed is DispatchResult.Sent) control.ended(ticket, completed.target, failed = false) else control.withdraw(ticket)
                 }
             }
         }
@@ -109,4 +109,4 @@
 }
 
 @OptIn(ExperimentalCoroutinesApi::class)
-private fun Deferred<Dispatched>.getCompletedOrNull(): Dispatched? = if (getCompletionExceptionOrNull() == null) getCompleted() else null
+private fun Deferred<DispatchResult>.getCompletedOrNull(): DispatchResult? = if (getCompletionExceptionOrNull() == null) getCompleted() else null
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryCall.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryCall.kt
@@ -3,12 +3,12 @@
  */
 package lagoonrudder.traffic.entry
 
-import lagoonrudder.control.Dispatched
-import lagoonrudder.control.Need
-import lagoonrudder.control.Waiting
+import lagoonrudder.control.DispatchResult
+import lagoonrudder.control.RoutingRequest
+import lagoonrudder.control.QueuedRequest
 import lagoonrudder.model.Failure
 import lagoonrudder.model.OperatorObject
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
 import lagoonrudder.model.VersionId
@@ -20,7 +20,7 @@
     val method: String,
     val path: String,
     val token: String,
-    val key: RepeatKey?,
+    val key: IdempotencyKey?,
     val contentType: String,
     val body: ByteArray,
 )
@@ -54,7 +54,7 @@
     val customer: OperatorObject.Customer,
     val revision: Revision,
     val work: Work,
-    val key: RepeatKey?,
+    val key: IdempotencyKey?,
     val deadline: Duration,
     val tokens: Long,
     val bytes: Long,
@@ -62,8 +62,8 @@
 
 /** A request's queue entry and its requirements on a target. */
 data class Ticket(
-    val waiting: Waiting,
-    val need: Need,
+    val waiting: QueuedRequest,
+    val need: RoutingRequest,
 )
 
 class EntryCall(
@@ -77,6 +77,6 @@
     fun contextOrNull(): RequestContext? = if (::context.isInitialized) context else null
 
     lateinit var ticket: Ticket
-    lateinit var choice: Dispatched.Go
+    lateinit var choice: DispatchResult.Sent
     lateinit var relay: ResponseRelay
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryControl.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryControl.kt
@@ -10,16 +10,16 @@
 import lagoonrudder.control.ConfigurationController
 import lagoonrudder.control.ControlThread
 import lagoonrudder.control.DispatchController
-import lagoonrudder.control.Dispatched
+import lagoonrudder.control.DispatchResult
 import lagoonrudder.control.DumpSection
-import lagoonrudder.control.HoldDecision
+import lagoonrudder.control.BufferDecision
 import lagoonrudder.control.MembershipController
 import lagoonrudder.control.QueueDecision
-import lagoonrudder.control.ReaderMemoryController
+import lagoonrudder.control.ResponseBufferController
 import lagoonrudder.control.RetryBudget
-import lagoonrudder.control.Room
+import lagoonrudder.control.TargetLoad
 import lagoonrudder.control.RoutingController
-import lagoonrudder.control.ServiceController
+import lagoonrudder.control.ServingController
 import lagoonrudder.control.TargetReport
 import lagoonrudder.control.dumpSection
 import lagoonrudder.control.entry
@@ -38,40 +38,40 @@
     val membership: MembershipController,
     val routing: RoutingController,
     val admission: AdmissionController,
-    val readers: ReaderMemoryController,
-    val service: ServiceController,
+    val readers: ResponseBufferController,
+    val service: ServingController,
     val retries: RetryBudget = RetryBudget(),
 ) {
     private val dispatch = DispatchController(admission, routing)
     private val relays = mutableMapOf<RequestId, ResponseRelay>()
-    private val pendingDispatches = mutableMapOf<RequestId, CompletableDeferred<Dispatched>>()
+    private val pendingDispatches = mutableMapOf<RequestId, CompletableDeferred<DispatchResult>>()
 
     /** Queues a request; the result completes when the request is dispatched or refused. */
-    fun enter(ticket: Ticket): CompletableDeferred<Dispatched> {
+    fun enqueue(ticket: Ticket): CompletableDeferred<DispatchResult> {
         val now = clock.elapsed()
-        val pending = CompletableDeferred<Dispatched>()
-        when (val decision = dispatch.enter(ticket.waiting, ticket.need, now)) {
-            is QueueDecision.Refused -> pending.complete(Dispatched.Refused(ticket.waiting.id, decision.refusal))
+        val pending = CompletableDeferred<DispatchResult>()
+        when (val decision = dispatch.enqueue(ticket.waiting, ticket.need, now)) {
+            is QueueDecision.Refused -> pending.complete(DispatchResult.Refused(ticket.waiting.id, decision.refusal))
             QueueDecision.Queued -> {
                 pendingDispatches[ticket.waiting.id] = pending
-                pump()
+                dispatchWaiting()
             }
         }
         return pending
     }
 
     /** Queues a request again whose attempt produced no response. */
-    fun reenter(ticket: Ticket): CompletableDeferred<Dispatched> {
-        val pending = CompletableDeferred<Dispatched>()
+    fun requeue(ticket: Ticket): CompletableDeferred<DispatchResult> {
+        val pending = CompletableDeferred<DispatchResult>()
         pendingDispatches[ticket.waiting.id] = pending
-        dispatch.reenter(ticket.waiting, ticket.need, clock.elapsed())
-        pump()
+        dispatch.requeue(ticket.waiting, ticket.need, clock.elapsed())
+        dispatchWaiting()
         return pending
     }
 
-    fun leave(ticket: Ticket) {
+    fun withdraw(ticket: Ticket) {
         pendingDispatches.remove(ticket.waiting.id)
-        dispatch.leave(ticket.waiting)
+        dispatch.withdraw(ticket.waiting)
     }
 
     fun ended(
@@ -81,43 +81,43 @@
         heldBack: Duration = Duration.ZERO,
     ) {
         dispatch.ended(ticket.waiting, target, failed, heldBack, clock.elapsed())
-        pump()
+        dispatchWaiting()
     }
 
-    fun turnedAway(
+    fun onRejected(
         target: TargetId,
-        room: Room?,
+        load: TargetLoad?,
     ) {
-        routing.turnedAway(target)
-        room?.let { routing.roomSeen(target, it, clock.elapsed()) }
-        pump()
+        routing.onRejected(target)
+        load?.let { routing.onLoadUpdate(target, it, clock.elapsed()) }
+        dispatchWaiting()
     }
 
     /** Handles the load of a target that arrived with a response. */
-    fun roomSeen(
+    fun onLoadUpdate(
         target: TargetId,
-        room: Room,
-    ) = routing.roomSeen(target, room, clock.elapsed())
+        load: TargetLoad,
+    ) = routing.onLoadUpdate(target, load, clock.elapsed())
 
-    fun reported(report: TargetReport) {
-        routing.reported(report, clock.elapsed())
-        pump()
+    fun onTargetReport(report: TargetReport) {
+        routing.onTargetReport(report, clock.elapsed())
+        dispatchWaiting()
     }
 
-    fun unlinked(target: TargetId) {
-        routing.unlinked(target)
-        pump()
+    fun onDisconnected(target: TargetId) {
+        routing.onDisconnected(target)
+        dispatchWaiting()
     }
 
     /** Handles a new active configuration or a change in the list of instances. */
     fun configured() {
         val entries = membership.instances().count { it.role == DaemonRole.ENTRY && it.domain == domain && !it.leaving }
         routing.configure(configuration.current.objects, entries)
-        pump()
+        dispatchWaiting()
     }
 
-    fun pump() {
-        for (dispatched in dispatch.pump(clock.elapsed())) pendingDispatches.remove(dispatched.request)?.complete(dispatched)
+    fun dispatchWaiting() {
+        for (dispatched in dispatch.dispatchWaiting(clock.elapsed())) pendingDispatches.remove(dispatched.request)?.complete(dispatched)
     }
 
     /** Reserves the buffer of a response; returns false if the memory budget does not allow it. */
@@ -125,7 +125,7 @@
         request: RequestId,
         relay: ResponseRelay,
     ): Boolean {
-        val opened = readers.open(request, ResponseRelay.BASE_BYTES, clock.elapsed()) is HoldDecision.Hold
+        val opened = readers.open(request, ResponseRelay.BASE_BYTES, clock.elapsed()) is BufferDecision.Granted
         if (opened) relays[request] = relay
         return opened
     }
@@ -139,14 +139,14 @@
     fun wasPaused(limit: Duration): Boolean {
         val now = clock.elapsed()
         val paused = service.tick(now)
-        if (paused) configuration.suspectStale(now, limit)
+        if (paused) configuration.requireConfirmation(now, limit)
         return paused
     }
 
     /** Handles the passage of time: refuses requests past their deadline and may park one stalled response to free its back end. */
     fun tick() {
-        pump()
-        val victim = readers.victim(admission.waitingLines().isNotEmpty(), clock.elapsed()) ?: return
+        dispatchWaiting()
+        val victim = readers.victim(admission.nonEmptyQueues().isNotEmpty(), clock.elapsed()) ?: return
         readers.park(victim)
         relays[victim]?.park?.complete(Unit)
     }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdentifyFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdentifyFilter.kt
@@ -8,7 +8,7 @@
 import arrow.core.left
 import arrow.core.raise.either
 import arrow.core.right
-import lagoonrudder.control.ServiceState
+import lagoonrudder.control.ServingState
 import lagoonrudder.control.refusal
 import lagoonrudder.model.Clock
 import lagoonrudder.model.FleetKind
@@ -17,7 +17,7 @@
 import lagoonrudder.model.Peer
 import lagoonrudder.model.Refusal
 import lagoonrudder.model.RequestId
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Step
 import lagoonrudder.traffic.Filter
 import lagoonrudder.traffic.Next
@@ -49,19 +49,19 @@
         )
     }
 
-    private fun activeSnapshot(): Either<Refusal, SealedSet> {
+    private fun activeSnapshot(): Either<Refusal, ObjectSnapshot> {
         val set = control.configuration.current
         val now = clock.elapsed()
         val confirmed = control.configuration.mayServe(now) && !control.service.wasPaused(now)
         return when (val state = control.service.state(set.objects, confirmed)) {
-            ServiceState.Serving -> set.right()
-            is ServiceState.Closed -> state.refusal().left()
+            ServingState.Serving -> set.right()
+            is ServingState.Unavailable -> state.refusal().left()
         }
     }
 
     private fun identify(
         call: EntryCall,
-        set: SealedSet,
+        set: ObjectSnapshot,
     ): Either<Refusal, RequestContext> =
         either {
             val route = set.objects.routeFor(call.caller.path) ?: raise(Refusal.UnknownRoute)
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/ResponseRelay.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/ResponseRelay.kt
@@ -11,7 +11,7 @@
 import kotlinx.coroutines.channels.Channel
 import kotlinx.coroutines.selects.onTimeout
 import kotlinx.coroutines.selects.select
-import lagoonrudder.control.HoldDecision
+import lagoonrudder.control.BufferDecision
 import lagoonrudder.model.Clock
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.VersionId
@@ -101,22 +101,22 @@
     /** Suspends until the caller has read all buffered bytes. */
     suspend fun awaitDrained() {
         while (bufferedBytes.get() > 0) consumed.receive()
-        control.thread.decide { control.readers.resumed(request, clock.elapsed()) }
+        control.thread.decide { control.readers.onResumed(request, clock.elapsed()) }
         park = CompletableDeferred()
     }
 
     private suspend fun awaitBufferSpace(bytes: Long) {
         while (bufferedBytes.get() > 0 && bufferedBytes.get() + bytes > reservedBytes) {
             when (control.thread.decide { reserveMore() }) {
-                HoldDecision.Hold -> Unit
-                HoldDecision.Wait -> awaitReadOrTimeout()
+                BufferDecision.Granted -> Unit
+                BufferDecision.Wait -> awaitReadOrTimeout()
             }
         }
     }
 
-    private fun reserveMore(): HoldDecision {
+    private fun reserveMore(): BufferDecision {
         val decision = control.readers.hold(request, STEP_BYTES)
-        if (decision is HoldDecision.Hold) reservedBytes += STEP_BYTES
+        if (decision is BufferDecision.Granted) reservedBytes += STEP_BYTES
         return decision
     }
 
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/SendFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/SendFilter.kt
@@ -20,10 +20,10 @@
 import kotlinx.coroutines.flow.mapNotNull
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withContext
-import lagoonrudder.control.Dispatched
-import lagoonrudder.control.RecordedAnswer
-import lagoonrudder.control.RepeatDecision
-import lagoonrudder.control.Room
+import lagoonrudder.control.DispatchResult
+import lagoonrudder.control.RecordedResponse
+import lagoonrudder.control.IdempotencyDecision
+import lagoonrudder.control.TargetLoad
 import lagoonrudder.model.Clock
 import lagoonrudder.model.Failure
 import lagoonrudder.model.Instance
@@ -31,7 +31,7 @@
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.digestOf
@@ -79,14 +79,14 @@
 private sealed class AttemptResult {
     data class Ended(
         val outcome: Outcome,
-        val room: Room? = null,
+        val load: TargetLoad? = null,
     ) : AttemptResult()
 
     /** The target proved that the attempt did not run. */
     data class Rejected(
         val refusal: Refusal,
         val peer: Peer,
-        val room: Room?,
+        val load: TargetLoad?,
     ) : AttemptResult()
 
     /** The target did not get the request, or the request may be repeated. */
@@ -112,7 +112,7 @@
     private var mayHaveRun: Failure? = null
 
     suspend fun run(): Outcome {
-        control.thread.decide { control.retries.attempted() }
+        control.thread.decide { control.retries.onFirstAttempt() }
         while (true) {
             attempt++
             val ended =
@@ -139,10 +139,10 @@
 
     private fun recordResult(result: AttemptResult?) {
         when (result) {
-            is AttemptResult.Rejected -> control.turnedAway(target, result.room)
+            is AttemptResult.Rejected -> control.onRejected(target, result.load)
             is AttemptResult.Lost -> control.ended(ticket, target, failed = true)
             is AttemptResult.Ended -> {
-                result.room?.let { control.roomSeen(target, it) }
+                result.load?.let { control.onLoadUpdate(target, it) }
                 control.ended(ticket, target, failed = result.outcome is Outcome.Unknown, heldBack = relay.heldBack)
             }
             AttemptResult.Parked, null -> control.ended(ticket, target, failed = false)
@@ -188,10 +188,10 @@
     /** Waits for another target; returns an outcome if there is none. */
     private suspend fun awaitTarget(): Outcome? {
         if (relay.started) ticket = ticket.copy(waiting = ticket.waiting.copy(deadline = clock.elapsed() + limits.resume))
-        val dispatched = awaitDispatch(control, ticket) { reenter(it) }
+        val dispatched = awaitDispatch(control, ticket) { requeue(it) }
         return when (dispatched) {
-            is Dispatched.Refused -> finalOutcome(dispatched.refusal, Peer.SELF)
-            is Dispatched.Go -> {
+            is DispatchResult.Refused -> finalOutcome(dispatched.refusal, Peer.SELF)
+            is DispatchResult.Sent -> {
                 target = dispatched.target
                 null
             }
@@ -230,21 +230,21 @@
 
     private suspend fun onReservation(
         instance: Instance,
-        decision: RepeatDecision,
-        key: RepeatKey,
+        decision: IdempotencyDecision,
+        key: IdempotencyKey,
     ): AttemptResult {
         val peer = peerOf(instance)
         return when (decision) {
-            is RepeatDecision.Permitted -> attemptRun(instance, RunPermit(key, decision.permit))
-            is RepeatDecision.Refused -> AttemptResult.Rejected(decision.refusal, peer, null)
-            is RepeatDecision.Uncertain -> unknown(Failure.Declined(Step.GUARD_REPEATS, peer, decision.detail))
-            is RepeatDecision.AskOwners -> unknown(Failure.Damaged(Step.GUARD_REPEATS, peer, "decision is not valid for entry daemons"))
-            is RepeatDecision.RanBefore -> recordedResponse(decision.answer, peer)
+            is IdempotencyDecision.Permitted -> attemptRun(instance, RunPermit(key, decision.permit))
+            is IdempotencyDecision.Refused -> AttemptResult.Rejected(decision.refusal, peer, null)
+            is IdempotencyDecision.Uncertain -> unknown(Failure.Declined(Step.GUARD_REPEATS, peer, decision.detail))
+            is IdempotencyDecision.QueryPreviousOwners -> unknown(Failure.Damaged(Step.GUARD_REPEATS, peer, "decision is not valid for entry daemons"))
+            is IdempotencyDecision.AlreadyRan -> recordedResponse(decision.response, peer)
         }
     }
 
     private suspend fun recordedResponse(
-        response: RecordedAnswer?,
+        response: RecordedResponse?,
         peer: Peer,
     ): AttemptResult {
         if (response == null) return unknown(Failure.Declined(Step.GUARD_REPEATS, peer, "already ran; its response is no longer held"))
@@ -321,7 +321,7 @@
     ): AttemptResult? {
         if (!headReceived && event !is RunEvent.NotRun) return damaged(permit, peer, "response without a head")
         return when (event) {
-            is RunEvent.NotRun -> AttemptResult.Rejected(event.refusal, peer, event.room)
+            is RunEvent.NotRun -> AttemptResult.Rejected(event.refusal, peer, event.load)
             is RunEvent.Head -> onHead(event, permit, peer)
             is RunEvent.Bytes -> onBytes(event, check, permit, peer)
             is RunEvent.End -> onEnd(event, check, permit, peer)
@@ -363,7 +363,7 @@
         peer: Peer,
     ): AttemptResult {
         if (!check.matchesEnd(end.length, end.checksum)) return onEndMismatch(peer)
-        return AttemptResult.Ended(Outcome.Completed(end.length, relay.version), end.room)
+        return AttemptResult.Ended(Outcome.Completed(end.length, relay.version), end.load)
     }
 
     /** Ends the response as broken instead of resuming it, because bytes that were already forwarded can't be revoked. */
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/RunFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/RunFilter.kt
@@ -13,7 +13,7 @@
 import kotlinx.coroutines.flow.mapNotNull
 import kotlinx.coroutines.withContext
 import lagoonrudder.control.EngineResult
-import lagoonrudder.control.RecordedAnswer
+import lagoonrudder.control.RecordedResponse
 import lagoonrudder.model.Clock
 import lagoonrudder.model.Failure
 import lagoonrudder.model.Invariant
@@ -85,7 +85,7 @@
             }
 
         private suspend fun onStarted(event: EngineEvent.Started): Outcome? {
-            control.thread.decide { control.limits.observe(event.incarnation) }
+            control.thread.decide { control.limits.onEngineIncarnation(event.incarnation) }
             if (event.version != call.version) return onWrongVersion("the engine started with version ${event.version.text}")
             started = true
             call.emit(RunEvent.Head(call.run.request, call.run.attempt, event.version, OK, "text/plain"))
@@ -109,7 +109,7 @@
 
         private suspend fun onWrongVersion(detail: String): Outcome {
             control.thread.decide {
-                control.switch.engineLost()
+                control.switch.onEngineLost()
                 control.publish()
             }
             return failed(damaged(detail))
@@ -118,8 +118,8 @@
         private fun damaged(detail: String) = Failure.Damaged(Step.RUN, PEER, detail)
 
         private suspend fun failed(failure: Failure): Outcome {
-            call.result = EngineResult.Trouble
-            if (failure is Failure.Unreachable || failure is Failure.Interrupted) control.thread.decide { control.switch.engineLost() }
+            call.result = EngineResult.Failed
+            if (failure is Failure.Unreachable || failure is Failure.Interrupted) control.thread.decide { control.switch.onEngineLost() }
             val declined = failure is Failure.Declined || failure is Failure.Unreachable
             if (declined && !started) return Outcome.Refused(Refusal.Overloaded(RETRY), Step.RUN, PEER)
             return Outcome.Broken(failure)
@@ -132,7 +132,7 @@
     ): Outcome {
         val permit = call.run.permit
         val response = if (permit == null) callBackEnd(call, work) else withContext(NonCancellable) { callWithPermit(call, work, permit) }
-        call.result = response.fold({ EngineResult.Trouble }, { EngineResult.Answered(Duration.ZERO) })
+        call.result = response.fold({ EngineResult.Failed }, { EngineResult.Answered(Duration.ZERO) })
         return when (response) {
             is Either.Right -> emitResponse(call, response.value)
             is Either.Left -> plainFailure(response.value)
@@ -142,13 +142,13 @@
     private suspend fun callBackEnd(
         call: TargetCall,
         work: Work.Plain,
-    ): Either<Failure, RecordedAnswer> = backEnd.call(work, call.run.request, call.run.timeLeft.coerceIn(MIN_TIMEOUT, MAX_TIMEOUT))
+    ): Either<Failure, RecordedResponse> = backEnd.call(work, call.run.request, call.run.timeLeft.coerceIn(MIN_TIMEOUT, MAX_TIMEOUT))
 
     private suspend fun callWithPermit(
         call: TargetCall,
         work: Work.Plain,
         permit: RunPermit,
-    ): Either<Failure, RecordedAnswer> {
+    ): Either<Failure, RecordedResponse> {
         val response = callBackEnd(call, work)
         control.thread.decide { record(permit, response) }
         return response
@@ -156,12 +156,12 @@
 
     private fun record(
         permit: RunPermit,
-        response: Either<Failure, RecordedAnswer>,
+        response: Either<Failure, RecordedResponse>,
     ) {
         val now = clock.elapsed()
         response.fold(
-            { if (provesNotRun(it)) control.repeats.notRun(permit.key) else control.repeats.lost(permit.key, now) },
-            { control.repeats.ended(permit.key, it, now) },
+            { if (provesNotRun(it)) control.repeats.onNotRun(permit.key) else control.repeats.onRunLost(permit.key, now) },
+            { control.repeats.onRunEnded(permit.key, it, now) },
         )
     }
 
@@ -169,7 +169,7 @@
 
     private suspend fun emitResponse(
         call: TargetCall,
-        response: RecordedAnswer,
+        response: RecordedResponse,
     ): Outcome {
         val verifier = ResponseVerifier(0)
         verifier.append(0, response.body)
@@ -179,7 +179,7 @@
         return Outcome.Completed(verifier.length, null)
     }
 
-    private suspend fun currentRoom() = control.thread.decide { control.limits.room() }
+    private suspend fun currentRoom() = control.thread.decide { control.limits.load() }
 
     private fun plainFailure(failure: Failure): Outcome =
         if (provesNotRun(failure)) Outcome.Refused(Refusal.Overloaded(RETRY), Step.RUN, PEER) else Outcome.Unknown(failure)
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/TargetCall.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/TargetCall.kt
@@ -9,7 +9,7 @@
 import lagoonrudder.control.EngineResult
 import lagoonrudder.control.EngineState
 import lagoonrudder.control.OrderResult
-import lagoonrudder.control.RecordedAnswer
+import lagoonrudder.control.RecordedResponse
 import lagoonrudder.model.ChunkIndex
 import lagoonrudder.model.Failure
 import lagoonrudder.model.IncarnationId
@@ -71,7 +71,7 @@
         work: Work.Plain,
         request: RequestId,
         limit: Duration,
-    ): Either<Failure, RecordedAnswer>
+    ): Either<Failure, RecordedResponse>
 
     suspend fun state(limit: Duration): Either<Failure, EngineState>
 
--- a/traffic/src/test/kotlin/lagoonrudder/traffic/direct/DirectSendFilterTest.kt
+++ b/traffic/src/test/kotlin/lagoonrudder/traffic/direct/DirectSendFilterTest.kt
@@ -41,7 +41,7 @@
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
-import lagoonrudder.model.Published
+import lagoonrudder.model.StoreRecord
 import lagoonrudder.model.Refusal
 import lagoonrudder.model.RegionId
 import lagoonrudder.model.RequestId
@@ -52,7 +52,7 @@
 import lagoonrudder.model.ServiceShare
 import lagoonrudder.model.ServingRoute
 import lagoonrudder.model.ServingService
-import lagoonrudder.model.ServingSet
+import lagoonrudder.model.ServingConfiguration
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.traffic.FilterChain
@@ -210,7 +210,7 @@
                 emptySet(),
             )
         val limits = CallerLimits(1, 1, 1.seconds, 1.seconds)
-        val set = ServingSet(Revision(1), listOf(route), listOf(ServingService(SERVICE, 9, null, null, null, null)), emptyList(), limits)
+        val set = ServingConfiguration(Revision(1), listOf(route), listOf(ServingService(SERVICE, 9, null, null, null, null)), emptyList(), limits)
         val backEnds =
             listOf("a", "b", "c").map { BackEnd(TargetId(it), SERVICE, Address("10.0.0.1", 1), DOMAIN, 4, false, Duration.ZERO, 1, null) }
         val items =
@@ -218,9 +218,9 @@
                 index,
                 each,
                 ->
-                DecodedItem(StoreItem("servers/${each.id.text}", index + 2L, ByteArray(0)), Published.Registered(each))
+                DecodedItem(StoreItem("servers/${each.id.text}", index + 2L, ByteArray(0)), StoreRecord.Registered(each))
             }
-        storeView.applyChanges(items + DecodedItem(StoreItem("op/config", 1, ByteArray(0)), Published.Serving(set)), 9, Duration.ZERO)
+        storeView.applyChanges(items + DecodedItem(StoreItem("op/config", 1, ByteArray(0)), StoreRecord.Configuration(set)), 9, Duration.ZERO)
     }
 
     suspend fun run(
@@ -232,7 +232,7 @@
     }
 }
 
-private val STREAM = RequestKind.Stream(resumable = true, longestPause = 300.milliseconds)
+private val STREAM = RequestKind.Stream(resumable = true, maxEventGap = 300.milliseconds)
 
 @OptIn(ExperimentalCoroutinesApi::class)
 class DirectSendFilterTest :
