--- a/control/src/test/kotlin/lagoonrudder/control/direct/PlacementControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/direct/PlacementControllerTest.kt
@@ -31,92 +31,97 @@
     cold: Double? = null,
 ) {
     var now = 100.seconds
-    val publication = PublicationController(strictInvariants())
+    val storeView = StoreViewController(strictInvariants())
     val peers = PeerController(peer("self"), emptyList())
-    val slots = SlotController()
+    val slots = BackEndStateController()
     val placement =
-        PlacementController(Places(NEAR, REGIONS), PlacementBounds(8.seconds, 1.5, 5.0), publication, peers, slots, Random(1))
+        PlacementController(Topology(NEAR, REGIONS), PlacementBounds(8.seconds, 1.5, 5.0), storeView, peers, slots, Random(1))
 
     init {
-        publication.take(listOf(item("op/config", 1, StoreRecord.Configuration(servingSet(1, cold)))), 1, 10.seconds)
-        publication.take(backEnds.mapIndexed { index, each -> registered(each, index + 2L) }, 50, 10.seconds)
+        storeView.applyChanges(listOf(item("op/config", 1, StoreRecord.Configuration(servingSet(1, cold)))), 1, 10.seconds)
+        storeView.applyChanges(backEnds.mapIndexed { index, each -> registered(each, index + 2L) }, 50, 10.seconds)
     }
 
     fun place(
-        patience: Duration = Duration.ZERO,
+        maxWait: Duration = Duration.ZERO,
         customer: String? = null,
         homeRegions: List<Set<RegionId>> = emptyList(),
-        passedOver: Set<TargetId> = emptySet(),
+        excluded: Set<TargetId> = emptySet(),
         number: Long? = null,
         promptTokens: Int = 0,
         isLate: Boolean = false,
     ) = placement.place(
-        PlacementNeed(
+        PlacementRequest(
             ENGINES,
             customer?.let { CustomerId(it) },
             1,
             homeRegions,
-            passedOver,
+            excluded,
             number?.let { WeightNumber(it) },
             promptTokens,
             isLate,
         ),
-        patience,
+        maxWait,
         now,
     )
 
     fun declare(number: Long) =
-        publication.take(listOf(item("op/version/model", 60 + number, StoreRecord.VersionDeclaration(MODEL, WeightNumber(number)))), 60 + number, now)
+        storeView.applyChanges(
+            listOf(item("op/version/model", 60 + number, StoreRecord.VersionDeclaration(MODEL, WeightNumber(number)))),
+            60 + number,
+            now,
+        )
 
-    fun evacuate(domain: DomainId) = publication.take(listOf(item("op/evacuate/${domain.text}", 90, StoreRecord.DomainEvacuation(domain))), 90, now)
+    fun evacuate(domain: DomainId) =
+        storeView.applyChanges(listOf(item("op/evacuate/${domain.text}", 90, StoreRecord.DomainEvacuation(domain))), 90, now)
 }
 
 @OptIn(ExperimentalCoroutinesApi::class)
 class PlacementControllerTest :
     FunSpec({
-        test("the back end with the smallest share of its places taken gets the request") {
+        test("a request goes to the back end with the lowest utilization") {
             val scene = Scene(listOf(backEnd("a"), backEnd("b")))
             val targets = (1..8).map { scene.place().target }
             targets.count { it == TargetId("a") } shouldBe 4
         }
 
-        test("a request stays in its failure domain while the places there are not much shorter") {
+        test("a request stays in its failure domain while utilization there is not much higher") {
             val scene = Scene(listOf(backEnd("a"), backEnd("c", FAR)))
             (1..3).map { scene.place().target } shouldBe List(3) { TargetId("a") }
             val later = (1..3).map { scene.place().target }
             later.contains(TargetId("c")) shouldBe true
         }
 
-        test("a back end that reads a prompt from this process is passed over while another one reads none") {
+        test("a back end in prefill for this process is avoided while another one is not in prefill") {
             val scene = Scene(listOf(backEnd("a"), backEnd("b")))
             val first = scene.place(promptTokens = 1_000).target.shouldNotBeNull()
-            scene.placement.ended(first, null, AttemptEnd.ANSWERED, scene.now)
+            scene.placement.onAttemptEnded(first, null, AttemptOutcome.ANSWERED, scene.now)
             val other = if (first == TargetId("a")) "b" else "a"
-            scene.peers.heard(peer("other"), mapOf(TargetId(other) to 1), scene.now)
+            scene.peers.onGossipReceived(peer("other"), mapOf(TargetId(other) to 1), scene.now)
             scene.place(promptTokens = 1_000).target shouldBe TargetId(other)
         }
 
-        test("what other entry daemons have in flight counts") {
+        test("requests in flight from other entry daemons count towards the load") {
             val scene = Scene(listOf(backEnd("a"), backEnd("b")))
-            scene.peers.heard(peer("other"), mapOf(TargetId("a") to 4), scene.now)
+            scene.peers.onGossipReceived(peer("other"), mapOf(TargetId("a") to 4), scene.now)
             (1..3).map { scene.place().target }.toSet() shouldBe setOf(TargetId("b"))
         }
 
-        test("a request waits for a place and gets the first that is free") {
+        test("a queued request gets the first slot that becomes free") {
             val scene = Scene(listOf(backEnd("a")))
             repeat(5) { scene.place().target shouldBe TargetId("a") }
-            val waiting = scene.place(patience = 1.seconds)
+            val waiting = scene.place(maxWait = 1.seconds)
             waiting.isCompleted shouldBe false
-            scene.placement.ended(TargetId("a"), null, AttemptEnd.ANSWERED, scene.now)
+            scene.placement.onAttemptEnded(TargetId("a"), null, AttemptOutcome.ANSWERED, scene.now)
             waiting.target shouldBe TargetId("a")
         }
 
         test("a request that waited too long is refused as overloaded") {
             val scene = Scene(listOf(backEnd("a")))
             repeat(5) { scene.place() }
-            val waiting = scene.place(patience = 100.milliseconds)
+            val waiting = scene.place(maxWait = 100.milliseconds)
             scene.now += 200.milliseconds
-            scene.placement.serveLine(scene.now)
+            scene.placement.dispatchQueued(scene.now)
             waiting
                 .getCompleted()
                 .shouldBeInstanceOf<Placement.Refused>()
@@ -124,47 +129,47 @@
                 .shouldBeInstanceOf<Refusal.Overloaded>()
         }
 
-        test("a request whose patience is over is decided at once, and the others stay in line") {
+        test("a request whose wait has timed out is decided immediately, and the others stay queued") {
             val scene = Scene(listOf(backEnd("a")))
             repeat(5) { scene.place() }
-            val impatient = scene.place(patience = 100.milliseconds)
-            val patient = scene.place(patience = 1.seconds)
-            scene.placement.decideNow(impatient, scene.now + 100.milliseconds)
-            impatient.getCompleted().shouldBeInstanceOf<Placement.Refused>()
-            patient.isCompleted shouldBe false
+            val shortWait = scene.place(maxWait = 100.milliseconds)
+            val longWait = scene.place(maxWait = 1.seconds)
+            scene.placement.onWaitTimeout(shortWait, scene.now + 100.milliseconds)
+            shortWait.getCompleted().shouldBeInstanceOf<Placement.Refused>()
+            longWait.isCompleted shouldBe false
         }
 
-        test("the place of a request that was withdrawn goes to the next in line") {
+        test("a free slot skips a cancelled request and goes to the next one in the queue") {
             val scene = Scene(listOf(backEnd("a")))
             repeat(5) { scene.place() }
-            val first = scene.place(patience = 1.seconds)
-            val second = scene.place(patience = 1.seconds)
+            val first = scene.place(maxWait = 1.seconds)
+            val second = scene.place(maxWait = 1.seconds)
             scene.placement.withdraw(first)
-            scene.placement.ended(TargetId("a"), null, AttemptEnd.ANSWERED, scene.now)
+            scene.placement.onAttemptEnded(TargetId("a"), null, AttemptOutcome.ANSWERED, scene.now)
             second.target shouldBe TargetId("a")
         }
 
-        test("the customer with less in flight goes first when places are short") {
+        test("the customer with fewer requests in flight goes first when slots are scarce") {
             val scene = Scene(listOf(backEnd("a")))
             repeat(5) { scene.place(customer = "large") }
-            val large = scene.place(patience = 1.seconds, customer = "large")
-            val small = scene.place(patience = 1.seconds, customer = "small")
-            scene.placement.ended(TargetId("a"), CustomerId("large"), AttemptEnd.ANSWERED, scene.now)
+            val large = scene.place(maxWait = 1.seconds, customer = "large")
+            val small = scene.place(maxWait = 1.seconds, customer = "small")
+            scene.placement.onAttemptEnded(TargetId("a"), CustomerId("large"), AttemptOutcome.ANSWERED, scene.now)
             small.isCompleted shouldBe true
             large.isCompleted shouldBe false
         }
 
-        test("a request that can still be in time goes before one whose objective has passed") {
+        test("a request that can still meet its latency objective goes before one that can't") {
             val scene = Scene(listOf(backEnd("a")))
             repeat(5) { scene.place() }
-            val late = scene.place(patience = 1.seconds, isLate = true)
-            val fresh = scene.place(patience = 1.seconds)
-            scene.placement.ended(TargetId("a"), null, AttemptEnd.ANSWERED, scene.now)
+            val late = scene.place(maxWait = 1.seconds, isLate = true)
+            val fresh = scene.place(maxWait = 1.seconds)
+            scene.placement.onAttemptEnded(TargetId("a"), null, AttemptOutcome.ANSWERED, scene.now)
             fresh.isCompleted shouldBe true
             late.isCompleted shouldBe false
         }
 
-        test("the last places of an engine are kept for requests that can still be in time") {
+        test("the last slots of an engine are reserved for requests that can still meet their latency objective") {
             val scene = Scene(listOf(backEnd("a")))
             repeat(2) { scene.place(isLate = true).target shouldBe TargetId("a") }
             scene
@@ -176,57 +181,60 @@
             scene.place().target shouldBe TargetId("a")
         }
 
-        test("a leaving back end and an evacuated failure domain get nothing") {
+        test("a leaving back end and an evacuated failure domain get no requests") {
             val scene = Scene(listOf(backEnd("a", leaving = true), backEnd("b"), backEnd("c", FAR)))
             scene.evacuate(NEAR)
             (1..3).map { scene.place().target }.toSet() shouldBe setOf(TargetId("c"))
         }
 
-        test("homes bind, and all of them") {
+        test("a back end must be in the home regions of both the route and the customer") {
             val scene = Scene(listOf(backEnd("a"), backEnd("c", FAR)))
             scene.place(homeRegions = listOf(setOf(RegionId("far-region")), emptySet())).target shouldBe TargetId("c")
-            val nowhere = scene.place(homeRegions = listOf(setOf(RegionId("far-region")), setOf(RegionId("near-region"))))
-            nowhere.getCompleted().shouldBeInstanceOf<Placement.Refused>()
+            val unplaceable = scene.place(homeRegions = listOf(setOf(RegionId("far-region")), setOf(RegionId("near-region"))))
+            unplaceable.getCompleted().shouldBeInstanceOf<Placement.Refused>()
         }
 
-        test("a back end without whole weights gets nothing until its daemon says that it holds them") {
+        test("a back end without complete weights gets no requests until its daemon reports that it holds them") {
             val empty = backEnd("a", number = null)
             val scene = Scene(listOf(empty))
             scene.place().getCompleted().shouldBeInstanceOf<Placement.Refused>()
             val part = HeldWeights(MODEL, WeightNumber(1), LAYERS - 1)
-            scene.slots.heard(SlotWord(empty.address, empty.born, part, closed = false), scene.now)
+            scene.slots.onGossipReceived(SlotWord(empty.address, empty.born, part, closed = false), scene.now)
             scene.place().getCompleted().shouldBeInstanceOf<Placement.Refused>()
-            scene.slots.heard(SlotWord(empty.address, empty.born, part.copy(layers = LAYERS), closed = false), scene.now)
+            scene.slots.onGossipReceived(SlotWord(empty.address, empty.born, part.copy(layers = LAYERS), closed = false), scene.now)
             scene.place().target shouldBe TargetId("a")
         }
 
-        test("the word about an earlier life of a back end doesn't count") {
+        test("a status of an earlier incarnation of a back end is ignored") {
             val restarted = backEnd("a", number = null, born = 2)
             val scene = Scene(listOf(restarted))
-            scene.slots.heard(SlotWord(restarted.address, 1, HeldWeights(MODEL, WeightNumber(1), LAYERS), closed = false), scene.now)
+            scene.slots.onGossipReceived(
+                SlotWord(restarted.address, 1, HeldWeights(MODEL, WeightNumber(1), LAYERS), closed = false),
+                scene.now,
+            )
             scene.place().getCompleted().shouldBeInstanceOf<Placement.Refused>()
         }
 
-        test("a back end whose daemon speaks of a later life at its address gets nothing") {
+        test("a back end gets no requests once its daemon reports a later incarnation at its address") {
             val replaced = backEnd("a", born = 1)
             val scene = Scene(listOf(replaced, backEnd("b")))
-            scene.slots.heard(SlotWord(replaced.address, 2, null, closed = false), scene.now)
+            scene.slots.onGossipReceived(SlotWord(replaced.address, 2, null, closed = false), scene.now)
             (1..3).map { scene.place().target }.toSet() shouldBe setOf(TargetId("b"))
         }
 
-        test("a back end that loads gets nothing") {
+        test("a back end that is loading gets no requests") {
             val scene = Scene(listOf(backEnd("a"), backEnd("b")))
             val loading = backEnd("a")
-            scene.slots.heard(SlotWord(loading.address, loading.born, loading.weights, closed = true), scene.now)
+            scene.slots.onGossipReceived(SlotWord(loading.address, loading.born, loading.weights, closed = true), scene.now)
             (1..3).map { scene.place().target }.toSet() shouldBe setOf(TargetId("b"))
         }
 
-        test("an older version serves until its time is nearly over, then only the declared one, which the request asks for") {
+        test("an older version serves until its switch deadline is near, then only the declared one, which the request requires") {
             val scene = Scene(listOf(backEnd("old", number = 1), backEnd("new", number = 2)))
             scene.declare(2)
             val before = (1..6).map { scene.place().target.shouldNotBeNull() }
             before.toSet() shouldBe setOf(TargetId("old"), TargetId("new"))
-            before.forEach { scene.placement.ended(it, null, AttemptEnd.ANSWERED, scene.now) }
+            before.forEach { scene.placement.onAttemptEnded(it, null, AttemptOutcome.ANSWERED, scene.now) }
             scene.now += 7.3.seconds
             repeat(3) {
                 val placed = scene.place().getCompleted().shouldBeInstanceOf<Placement.Placed>()
@@ -235,7 +243,7 @@
             }
         }
 
-        test("a back end whose version is about to be too old gets only what it can begin at once") {
+        test("a back end close to its switch deadline gets only the requests that it can start immediately") {
             val scene = Scene(listOf(backEnd("old", number = 1)))
             scene.declare(2)
             scene.now += 6.2.seconds
@@ -248,7 +256,7 @@
                 .shouldBeInstanceOf<Refusal.Overloaded>()
         }
 
-        test("a version that is declared on top of another doesn't put off the time of the first") {
+        test("a further declared version does not postpone the switch deadline of the previous one") {
             val scene = Scene(listOf(backEnd("old", number = 1), backEnd("new", number = 2)))
             scene.declare(2)
             scene.now += 2.seconds
@@ -257,7 +265,7 @@
             repeat(3) { scene.place().target shouldBe TargetId("new") }
         }
 
-        test("a stream that goes on elsewhere goes on with the version that began it") {
+        test("a stream that is resumed elsewhere continues with the version that started it") {
             val scene = Scene(listOf(backEnd("old", number = 1), backEnd("new", number = 2)))
             scene.place(number = 1).target shouldBe TargetId("old")
             scene.place(number = 2).target shouldBe TargetId("new")
@@ -269,26 +277,26 @@
             val sent =
                 (1..entries).map { self ->
                     val scene = Scene(listOf(backEnd("a")), cold = 28.0)
-                    (1..entries).filter { it != self }.forEach { scene.peers.heard(peer("entry-$it"), emptyMap(), 10.seconds) }
+                    (1..entries).filter { it != self }.forEach { scene.peers.onGossipReceived(peer("entry-$it"), emptyMap(), 10.seconds) }
                     scene.peers.entryCount(10.seconds)
                     (1..200).count {
                         val placed = scene.place().getCompleted() is Placement.Placed
-                        if (placed) scene.placement.ended(TargetId("a"), null, AttemptEnd.ANSWERED, scene.now)
+                        if (placed) scene.placement.onAttemptEnded(TargetId("a"), null, AttemptOutcome.ANSWERED, scene.now)
                         placed
                     }
                 }
             sent.sum() shouldBeLessThanOrEqual bound.toInt()
         }
 
-        test("failures in a row set a back end aside, and an answer ends that") {
+        test("consecutive failures eject a back end until the ejection time has passed") {
             val scene = Scene(listOf(backEnd("a"), backEnd("b")))
             repeat(3) {
-                scene.place(passedOver = setOf(TargetId("b")))
-                scene.placement.ended(TargetId("a"), null, AttemptEnd.FAILED, scene.now)
+                scene.place(excluded = setOf(TargetId("b")))
+                scene.placement.onAttemptEnded(TargetId("a"), null, AttemptOutcome.FAILED, scene.now)
             }
             scene.place().target shouldBe TargetId("b")
             scene.place().target shouldBe TargetId("b")
             scene.now += 10.seconds
-            scene.place(passedOver = setOf(TargetId("b"))).target shouldBe TargetId("a")
+            scene.place(excluded = setOf(TargetId("b"))).target shouldBe TargetId("a")
         }
     })
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/ChunkCache.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/ChunkCache.kt
@@ -15,7 +15,7 @@
 import kotlinx.coroutines.sync.Semaphore
 import kotlinx.coroutines.sync.withPermit
 import lagoonrudder.control.direct.DeclaredWeights
-import lagoonrudder.control.direct.PieceSource
+import lagoonrudder.control.direct.WeightSource
 import lagoonrudder.control.direct.WeightManifest
 import lagoonrudder.model.Failure
 import lagoonrudder.model.ModelId
@@ -62,7 +62,7 @@
      * until the manifest has been fetched or a newer version is declared.
      */
     suspend fun prefetch(declared: DeclaredWeights) {
-        while (core.thread.decide { core.publication.declared(declared.model) } == declared) {
+        while (core.thread.decide { core.storeView.declared(declared.model) } == declared) {
             if (manifest(declared.model, declared.number).isRight()) return
             delay(PREFETCH_RETRY_DELAY)
         }
@@ -76,7 +76,7 @@
             val ownChunks =
                 core.thread.decide {
                     manifest.digests.indices.filter {
-                        core.staging.leads(manifest.model, manifest.number, it, core.clock.elapsed())
+                        core.staging.isPrimarySource(manifest.model, manifest.number, it, core.clock.elapsed())
                     }
                 }
             core.log.info("chunk-prefetch-started", "number" to manifest.number.number, "pieces" to ownChunks.size)
@@ -106,7 +106,7 @@
         model: ModelId,
         number: WeightNumber?,
         index: Int,
-    ): List<PieceSource> = core.thread.decide { core.staging.sourcesAbove(model, number, index, core.clock.elapsed()) }
+    ): List<WeightSource> = core.thread.decide { core.staging.upstreamSources(model, number, index, core.clock.elapsed()) }
 
     /** Evicts all but the two newest versions of a model. */
     private fun evictOldVersions(
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntryDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntryDaemon.kt
@@ -9,8 +9,8 @@
 import kotlinx.coroutines.launch
 import lagoonrudder.control.direct.DeclaredWeights
 import lagoonrudder.control.direct.PlacementController
-import lagoonrudder.control.direct.Places
-import lagoonrudder.control.direct.RepeatShare
+import lagoonrudder.control.direct.Topology
+import lagoonrudder.control.direct.RetryBudgetShare
 import lagoonrudder.http.HttpServer
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.TargetId
@@ -34,15 +34,15 @@
     private val random = Random(System.nanoTime())
     private val placement =
         PlacementController(
-            Places(settings.domain, settings.regions),
+            Topology(settings.domain, settings.regions),
             settings.bounds.placement,
-            core.publication,
+            core.storeView,
             core.peers,
             core.slots,
             random,
         )
     private val control =
-        DirectControl(core.thread, core.clock, core.publication, core.peers, placement, RepeatShare(settings.bounds.retryBudget))
+        DirectControl(core.thread, core.clock, core.storeView, core.peers, placement, RetryBudgetShare(settings.bounds.retryBudget))
     private val client = PeerClient(core.http)
     private val store = StoreSyncLoop(core, isNeeded = { true }, onChange = ::onStoreViewChanged)
     private val peers = GossipLoop(core, client, loads = placement::inFlight, onChange = ::onStoreViewChanged)
@@ -89,14 +89,14 @@
 
     /** Applies a change of the published state. Runs on the control thread. */
     private fun onStoreViewChanged() {
-        limits = core.publication.serving?.limits ?: DEFAULT_LIMITS
-        control.published()
-        val newest = core.publication.newest
+        limits = core.storeView.serving?.limits ?: DEFAULT_LIMITS
+        control.onStoreViewChanged()
+        val newest = core.storeView.newest
         (newest - prefetchedVersions.toSet()).forEach { core.scope.launch { chunks.prefetch(it) } }
         prefetchedVersions = newest
     }
 
-    private suspend fun isReady() = !isShuttingDown && core.thread.decide { core.publication.confirmed }
+    private suspend fun isReady() = !isShuttingDown && core.thread.decide { core.storeView.confirmed }
 
     private suspend fun runTicks() {
         while (currentCoroutineContext().isActive) {
@@ -114,35 +114,35 @@
 
     private fun onTick(pause: Duration?): List<TargetId> {
         val now = core.clock.elapsed()
-        if (pause != null) core.publication.doubt()
-        if (store.isLost) core.publication.disturbed(now)
-        placement.serveLine(now)
-        return core.publication.expire(now)
+        if (pause != null) core.storeView.requireConfirmation()
+        if (store.isLost) core.storeView.onStoreUnavailable(now)
+        placement.dispatchQueued(now)
+        return core.storeView.expire(now)
     }
 
     override fun dump() = core.dump() + placement.dump(core.clock.elapsed())
 
-    override fun gauges() = core.gauges() + mapOf("in_flight" to placement.inFlight().values.sum(), "waiting" to placement.waiting())
+    override fun gauges() = core.gauges() + mapOf("in_flight" to placement.inFlight().values.sum(), "waiting" to placement.queueLength())
 
     private fun recordRequestEnd(
         call: DirectCall,
         outcome: Outcome?,
     ) {
-        val identity = call.identityOrNull
+        val context = call.contextOrNull
         val took = core.clock.elapsed() - call.receivedAt
         if (outcome == null) core.metrics.recordCallerDisconnect(took) else core.metrics.recordRequest(outcome, took)
-        call.firstEventAfter?.let { core.metrics.recordFirstEvent(it) }
+        call.timeToFirstEvent?.let { core.metrics.recordFirstEvent(it) }
         core.log.info(
             "request-ended",
             "request" to call.request.request.text,
-            "route" to identity?.route?.id?.text,
-            "customer" to identity?.customer?.id?.text,
-            "revision" to identity?.revision?.number,
-            "late" to identity?.isLate,
+            "route" to context?.route?.id?.text,
+            "customer" to context?.customer?.id?.text,
+            "revision" to context?.revision?.number,
+            "late" to context?.isLate,
             "outcome" to (outcome?.code ?: "caller-left"),
             "took-ms" to took.inWholeMilliseconds,
-            "first-ms" to call.firstEventAfter?.inWholeMilliseconds,
-            "waited-ms" to call.waited.inWholeMilliseconds,
+            "first-ms" to call.timeToFirstEvent?.inWholeMilliseconds,
+            "waited-ms" to call.queueTime.inWholeMilliseconds,
             "attempts" to call.attempts.joinToString(",") { "${it.target.text}:${it.result}" },
             "detail" to call.lastFailure?.detail,
         )
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectSettings.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectSettings.kt
@@ -8,7 +8,7 @@
 import arrow.core.raise.Raise
 import arrow.core.raise.either
 import lagoonrudder.control.direct.PlacementBounds
-import lagoonrudder.control.direct.RepeatBounds
+import lagoonrudder.control.direct.RetryBudgetBounds
 import lagoonrudder.model.Address
 import lagoonrudder.model.DaemonId
 import lagoonrudder.model.DaemonRole
@@ -41,7 +41,7 @@
 /** Limits from the section `bounds`; [stopGrace] is the time from the stop signal to the exit of the process. */
 data class DirectBounds(
     val placement: PlacementBounds,
-    val retryBudget: RepeatBounds,
+    val retryBudget: RetryBudgetBounds,
     val stopGrace: Duration,
 )
 
@@ -103,7 +103,7 @@
     with(section) {
         DirectBounds(
             placement = PlacementBounds(duration("version"), double("cold-ratio"), double("cold-allowance")),
-            retryBudget = RepeatBounds(double("repeat-ratio"), duration("repeat-window"), double("repeat-allowance")),
+            retryBudget = RetryBudgetBounds(double("repeat-ratio"), duration("repeat-window"), double("repeat-allowance")),
             stopGrace = duration("stop-grace"),
         )
     }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectTargetDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectTargetDaemon.kt
@@ -27,7 +27,7 @@
     }
 
     /** Entry daemons that start at the same time have no state yet, so the first state is read from the store. */
-    private suspend fun isConfirmed() = core.thread.decide { core.publication.confirmed }
+    private suspend fun isConfirmed() = core.thread.decide { core.storeView.confirmed }
 
     override fun dump() = core.dump()
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/GossipLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/GossipLoop.kt
@@ -65,7 +65,7 @@
 
     private suspend fun exchangeWithAll() {
         while (currentCoroutineContext().isActive) {
-            val gossipAddresses = core.thread.decide { core.peers.partners(core.clock.elapsed()) }
+            val gossipAddresses = core.thread.decide { core.peers.gossipAddresses(core.clock.elapsed()) }
             val removed = exchanges.keys - gossipAddresses.toSet()
             removed.forEach { exchanges.remove(it)?.cancel() }
             for (address in gossipAddresses) exchanges.getOrPut(address) { core.scope.launch { exchangePeriodically(address) } }
@@ -126,10 +126,10 @@
 
     private fun gossipMessage(peersRequested: Boolean): GossipMessage {
         val isLagging = behindSince?.let { core.clock.elapsed() - it > MAX_STORE_LAG } ?: false
-        val itemsRequested = isLagging || !core.publication.confirmed || core.self.role == DaemonRole.TARGET
+        val itemsRequested = isLagging || !core.storeView.confirmed || core.self.role == DaemonRole.TARGET
         return GossipMessage(
             core.self.toMessage(),
-            core.publication.at,
+            core.storeView.at,
             itemsRequested,
             loads().toMessages(),
             slot?.toMessage(),
@@ -145,18 +145,18 @@
         val change =
             core.thread.decide {
                 val now = core.clock.elapsed()
-                core.peers.heard(reply.self.toPeer(), reply.loads.toLoads(), now)
-                core.peers.sighted(reply.sightings.map { it.toLivePeer() }, now)
-                val isBehind = reply.at > core.publication.at
+                core.peers.onGossipReceived(reply.self.toPeer(), reply.loads.toLoads(), now)
+                core.peers.mergeLivePeers(reply.livePeers.map { it.toLivePeer() }, now)
+                val isBehind = reply.at > core.storeView.at
                 if (!isBehind) {
                     behindSince = null
                 } else if (behindSince == null) {
                     behindSince = now
                 }
-                val isUpdate = items.isNotEmpty() || (!core.publication.confirmed && core.publication.serving != null && !isBehind)
+                val isUpdate = items.isNotEmpty() || (!core.storeView.confirmed && core.storeView.serving != null && !isBehind)
                 if (!isUpdate) return@decide null
                 behindSince = null
-                core.publication.takeSettled(items, reply.at, now).also { onChange() }
+                core.storeView.applySettledChanges(items, reply.at, now).also { onChange() }
             }
         if (change != null) core.logChange(change, "peer:$address", reply.at)
     }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerEndpoint.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerEndpoint.kt
@@ -58,9 +58,9 @@
 
     private fun replyTo(message: GossipMessage): GossipReply {
         val now = core.clock.elapsed()
-        core.peers.heard(message.self.toPeer(), message.loads.toLoads(), now)
+        core.peers.onGossipReceived(message.self.toPeer(), message.loads.toLoads(), now)
         val slot = message.slot?.toSlotWord()
-        if (slot != null && core.slots.heard(slot, now)) {
+        if (slot != null && core.slots.onGossipReceived(slot, now)) {
             core.log.info(
                 "slot-heard",
                 "back-end" to slot.backEnd,
@@ -72,10 +72,10 @@
         }
         return GossipReply(
             self = core.self.toMessage(),
-            at = core.publication.settledAt,
+            at = core.storeView.settledRevision,
             loads = loads().toMessages(),
-            sightings = if (message.peersRequested) core.peers.sightings(now).map { it.toMessage() } else emptyList(),
-            items = if (message.itemsRequested) core.publication.changesSince(message.at).map { it.toMessage() } else emptyList(),
+            livePeers = if (message.peersRequested) core.peers.livePeers(now).map { it.toMessage() } else emptyList(),
+            items = if (message.itemsRequested) core.storeView.changesSince(message.at).map { it.toMessage() } else emptyList(),
         )
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StagingLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StagingLoop.kt
@@ -17,10 +17,10 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import lagoonrudder.control.direct.BackEndReport
 import lagoonrudder.control.direct.Handover
-import lagoonrudder.control.direct.OrderAnswer
+import lagoonrudder.control.direct.OrderResponse
 import lagoonrudder.control.direct.SlotWord
-import lagoonrudder.control.direct.SwitchTurn
-import lagoonrudder.control.direct.WantedWeights
+import lagoonrudder.control.direct.ScheduledSwitch
+import lagoonrudder.control.direct.WeightsToLoad
 import lagoonrudder.control.direct.WeightManifest
 import lagoonrudder.model.WeightNumber
 import lagoonrudder.model.digestOf
@@ -44,8 +44,8 @@
     suspend fun run() {
         while (currentCoroutineContext().isActive) {
             val report = report()
-            val wanted = report?.let { core.thread.decide { core.staging.wanted(slot.service, it) } }
-            if (wanted == null || report.loading) delay(IDLE_POLL_INTERVAL) else stageAndLoad(wanted, report)
+            val weightsToLoad = report?.let { core.thread.decide { core.staging.weightsToLoad(slot.service, it) } }
+            if (weightsToLoad == null || report.loading) delay(IDLE_POLL_INTERVAL) else stageAndLoad(weightsToLoad, report)
         }
     }
 
@@ -86,10 +86,10 @@
     }
 
     private suspend fun stageAndLoad(
-        wanted: WantedWeights,
+        weightsToLoad: WeightsToLoad,
         report: BackEndReport,
     ) {
-        val manifest = manifestOf(wanted, report)
+        val manifest = manifestOf(weightsToLoad, report)
         if (manifest == null) {
             delay(RETRY_DELAY)
             return
@@ -100,17 +100,17 @@
     }
 
     private suspend fun manifestOf(
-        wanted: WantedWeights,
+        weightsToLoad: WeightsToLoad,
         report: BackEndReport,
     ): WeightManifest? {
         val current =
-            manifest?.takeIf { it.model == wanted.model && (wanted.number == null || it.number == wanted.number) }
+            manifest?.takeIf { it.model == weightsToLoad.model && (weightsToLoad.number == null || it.number == weightsToLoad.number) }
         if (current != null) return current
-        val inProgress = manifest?.takeIf { it.model == wanted.model && it.number > (report.held?.number ?: NO_VERSION) }
+        val inProgress = manifest?.takeIf { it.model == weightsToLoad.model && it.number > (report.held?.number ?: NO_VERSION) }
         if (inProgress != null && isStillWanted(inProgress) && !isOutdated(inProgress)) return inProgress
         val sources =
-            core.thread.decide { core.staging.sources(wanted.model, wanted.number, MANIFEST_INDEX, core.clock.elapsed()) }
-        val fetched = fetcher.manifest(sources, wanted.model, wanted.number).getOrElse { return null }
+            core.thread.decide { core.staging.sources(weightsToLoad.model, weightsToLoad.number, MANIFEST_INDEX, core.clock.elapsed()) }
+        val fetched = fetcher.manifest(sources, weightsToLoad.model, weightsToLoad.number).getOrElse { return null }
         manifest = fetched
         stagedChunks.clear()
         verify(fetched)
@@ -165,7 +165,7 @@
     }
 
     private suspend fun isStillWanted(manifest: WeightManifest): Boolean =
-        core.thread.decide { core.staging.finishes(manifest.model, manifest.number, stagedChunks.size, manifest.digests.size) }
+        core.thread.decide { core.staging.shouldFinishStaging(manifest.model, manifest.number, stagedChunks.size, manifest.digests.size) }
 
     private suspend fun awaitScheduledSwitch(
         manifest: WeightManifest,
@@ -173,22 +173,22 @@
     ): Boolean {
         while (isStillWanted(manifest)) {
             if (isOutdated(manifest)) return false
-            val turn = turn(manifest, report) ?: return true
-            val wait = turn.at - core.clock.elapsed()
+            val scheduledSwitch = scheduledSwitch(manifest, report) ?: return true
+            val wait = scheduledSwitch.at - core.clock.elapsed()
             if (wait <= Duration.ZERO) return true
             delay(minOf(wait, SCHEDULE_CHECK_INTERVAL))
         }
         return false
     }
 
-    private suspend fun turn(
+    private suspend fun scheduledSwitch(
         manifest: WeightManifest,
         report: BackEndReport,
-    ): SwitchTurn? = core.thread.decide { core.staging.turn(slot.service, slot.backEnd, report, manifest.number) }
+    ): ScheduledSwitch? = core.thread.decide { core.staging.scheduledSwitch(slot.service, slot.backEnd, report, manifest.number) }
 
     /** Whether a newer version was declared and can be fetched, so that [manifest] is skipped. */
     private suspend fun isOutdated(manifest: WeightManifest): Boolean {
-        val newest = core.thread.decide { core.publication.declared(manifest.model)?.number }
+        val newest = core.thread.decide { core.storeView.declared(manifest.model)?.number }
         if (newest == null || newest <= manifest.number) return false
         val last = manifest.digests.lastIndex
         val sources = core.thread.decide { core.staging.sources(manifest.model, newest, last, core.clock.elapsed()) }
@@ -220,7 +220,7 @@
         manifest: WeightManifest,
         before: BackEndReport,
     ) {
-        val handover = turn(manifest, before)?.handover(core.clock.elapsed()) ?: Handover.LET_END
+        val handover = scheduledSwitch(manifest, before)?.handover(core.clock.elapsed()) ?: Handover.DRAIN
         val report = (if (before.held == null) reportOfSameRun(before) else closeAndDrain(before, handover)) ?: return
         val orderedAt = core.clock.elapsed()
         when (val answer = backEnd.start(manifest.model, manifest.number, report.orders, handover)) {
@@ -247,7 +247,7 @@
         while (report.born == before.born && !report.loading) {
             announce(SlotWord(slot.backEnd, report.born, report.held, closed = true))
             val waited = core.clock.elapsed() - closedAt
-            val isEmpty = report.waiting == 0 && (handover == Handover.LET_END || report.running == 0)
+            val isEmpty = report.waiting == 0 && (handover == Handover.DRAIN || report.running == 0)
             if (waited > QUEUE_DRAIN_TIMEOUT || (isEmpty && waited > GOSSIP_PROPAGATION_TIME)) return report
             delay(QUEUE_CHECK_INTERVAL)
             report = backEnd.report().getOrElse { return null }
@@ -257,14 +257,14 @@
 
     private fun logOrder(
         manifest: WeightManifest,
-        answer: OrderAnswer,
+        answer: OrderResponse,
         report: BackEndReport,
     ) {
         val fields = arrayOf("number" to manifest.number.number, "orders" to report.orders, "running" to report.running)
         when (answer) {
-            OrderAnswer.Begun -> core.log.info("order-begun", *fields)
-            OrderAnswer.InEffect -> core.log.info("order-already-applied", *fields)
-            is OrderAnswer.Declined -> core.log.warning("order-declined", *fields, "status" to answer.status, "detail" to answer.detail)
+            OrderResponse.Accepted -> core.log.info("order-begun", *fields)
+            OrderResponse.AlreadyApplied -> core.log.info("order-already-applied", *fields)
+            is OrderResponse.Declined -> core.log.warning("order-declined", *fields, "status" to answer.status, "detail" to answer.detail)
         }
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StoreSyncLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StoreSyncLoop.kt
@@ -12,7 +12,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.ensureActive
 import kotlinx.coroutines.isActive
-import lagoonrudder.control.direct.PublicationChange
+import lagoonrudder.control.direct.StoreViewChange
 import lagoonrudder.model.Failure
 import lagoonrudder.platform.StoreClient
 import lagoonrudder.platform.StoreWatchResult
@@ -78,16 +78,16 @@
         store.readAll().map { response ->
             val items = response.items.map { readItem(it) }
             needsFullRead = false
-            applyUpdate { core.publication.takeWhole(items, response.at, core.clock.elapsed()) }
+            applyUpdate { core.storeView.applySnapshot(items, response.at, core.clock.elapsed()) }
         }
 
     private suspend fun watch(wait: Duration): Either<Failure, Unit> {
-        val after = core.thread.decide { core.publication.at }
+        val after = core.thread.decide { core.storeView.at }
         return store.watch(after, wait).map { watched ->
             when (watched) {
                 is StoreWatchResult.Changes -> {
                     val items = watched.answer.items.map { readItem(it) }
-                    applyUpdate { core.publication.take(items, watched.answer.at, core.clock.elapsed()) }
+                    applyUpdate { core.storeView.applyChanges(items, watched.answer.at, core.clock.elapsed()) }
                 }
                 StoreWatchResult.HistoryLost -> {
                     core.log.warning("store-history-lost", "after" to after)
@@ -97,8 +97,8 @@
         }
     }
 
-    private suspend fun applyUpdate(update: () -> PublicationChange) {
-        val (change, at) = core.thread.decide { update().also { onChange() } to core.publication.at }
+    private suspend fun applyUpdate(update: () -> StoreViewChange) {
+        val (change, at) = core.thread.decide { update().also { onChange() } to core.storeView.at }
         core.logChange(change, "store", at)
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/WeightFetcher.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/WeightFetcher.kt
@@ -8,7 +8,7 @@
 import arrow.core.flatMap
 import arrow.core.left
 import arrow.core.right
-import lagoonrudder.control.direct.PieceSource
+import lagoonrudder.control.direct.WeightSource
 import lagoonrudder.control.direct.WeightManifest
 import lagoonrudder.model.Failure
 import lagoonrudder.model.ModelId
@@ -24,27 +24,27 @@
     private val peers: PeerClient,
 ) {
     suspend fun manifest(
-        sources: List<PieceSource>,
+        sources: List<WeightSource>,
         model: ModelId,
         number: WeightNumber?,
     ): Either<Failure, WeightManifest> =
         fetchFromFirst(sources, "manifest ${model.text}") { source ->
             when (source) {
-                is PieceSource.Entry -> peers.manifest(source.address, model, number)
-                is PieceSource.Origin -> OriginClient(core.http, source.address).manifest(model, number)
+                is WeightSource.Entry -> peers.manifest(source.address, model, number)
+                is WeightSource.Origin -> OriginClient(core.http, source.address).manifest(model, number)
             }
         }
 
     suspend fun chunk(
-        sources: List<PieceSource>,
+        sources: List<WeightSource>,
         manifest: WeightManifest,
         index: Int,
     ): Either<Failure, ByteArray> =
         fetchFromFirst(sources, "chunk $index of ${manifest.number.number}") { source ->
             val fetched =
                 when (source) {
-                    is PieceSource.Entry -> peers.chunk(source.address, manifest.model, manifest.number, index)
-                    is PieceSource.Origin ->
+                    is WeightSource.Entry -> peers.chunk(source.address, manifest.model, manifest.number, index)
+                    is WeightSource.Origin ->
                         OriginClient(core.http, source.address).piece(manifest.model, manifest.number, index)
                 }
             fetched.flatMap { bytes ->
@@ -63,9 +63,9 @@
         }
 
     private suspend fun <T> fetchFromFirst(
-        sources: List<PieceSource>,
+        sources: List<WeightSource>,
         what: String,
-        fetch: suspend (PieceSource) -> Either<Failure, T>,
+        fetch: suspend (WeightSource) -> Either<Failure, T>,
     ): Either<Failure, T> {
         var failure: Failure = Failure.Unreachable(Step.DRAW_CHUNK, Peer.SELF, "no source for $what")
         for (source in sources) {
@@ -78,9 +78,9 @@
         return failure.left()
     }
 
-    private fun peerOf(source: PieceSource): Peer =
+    private fun peerOf(source: WeightSource): Peer =
         when (source) {
-            is PieceSource.Entry -> Peer(PeerRole.ENTRY, source.address.toString())
-            is PieceSource.Origin -> Peer(PeerRole.ORIGIN, source.address.toString())
+            is WeightSource.Entry -> Peer(PeerRole.ENTRY, source.address.toString())
+            is WeightSource.Origin -> Peer(PeerRole.ORIGIN, source.address.toString())
         }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/front/HttpResponseSink.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/front/HttpResponseSink.kt
@@ -9,8 +9,8 @@
 import kotlinx.coroutines.CompletableDeferred
 import lagoonrudder.model.Failure
 import lagoonrudder.model.VersionId
-import lagoonrudder.traffic.entry.AnswerSink
-import lagoonrudder.traffic.entry.CallerGone
+import lagoonrudder.traffic.entry.ResponseSink
+import lagoonrudder.traffic.entry.CallerDisconnected
 import java.io.IOException
 import java.nio.ByteBuffer
 import java.nio.CharBuffer
@@ -28,7 +28,7 @@
     failure: Failure,
 ) : IOException(failure.describe())
 
-class HttpResponseSink : AnswerSink {
+class HttpResponseSink : ResponseSink {
     /** Completed when the response starts. */
     val started = CompletableDeferred<ResponseStart>()
     private val channel = CompletableDeferred<ByteWriteChannel>()
@@ -78,7 +78,7 @@
         } catch (cancelled: CancellationException) {
             throw cancelled
         } catch (broken: IOException) {
-            throw CallerGone(broken)
+            throw CallerDisconnected(broken)
         }
     }
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualCaller.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualCaller.kt
@@ -12,7 +12,7 @@
 import lagoonrudder.standins.CallEnd
 import lagoonrudder.standins.TextCall
 import lagoonrudder.standins.wholeAnswer
-import lagoonrudder.traffic.entry.AnswerSink
+import lagoonrudder.traffic.entry.ResponseSink
 import lagoonrudder.traffic.entry.CallerRequest
 import kotlin.time.Duration
 
@@ -20,7 +20,7 @@
 class VirtualSink(
     private val clock: VirtualClock,
     private val pause: Duration,
-) : AnswerSink {
+) : ResponseSink {
     private val bytes = StringBuilder()
     val times = mutableListOf<Duration>()
     var version: VersionId? = null
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AccountFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AccountingFilter.kt
@@ -1,5 +1,5 @@
 /**
- * Counts a request while it is in hand and reports how it ended.
+ * Counts a request while it is in flight and reports its outcome.
  */
 package lagoonrudder.traffic.entry
 
@@ -11,7 +11,7 @@
 import lagoonrudder.traffic.Next
 import kotlin.time.Duration
 
-/** Receives the end of each request; called from traffic threads. */
+/** Receives the outcome of each request; called on traffic threads. */
 fun interface EntryListener {
     fun ended(
         call: EntryCall,
@@ -20,7 +20,7 @@
     )
 }
 
-class AccountFilter(
+class AccountingFilter(
     private val control: EntryControl,
     private val clock: Clock,
     private val listener: EntryListener,
@@ -32,7 +32,7 @@
         control.thread.decide { control.service.onRequestStarted() }
         try {
             val outcome = next.proceed(call)
-            listener.ended(call, outcome, clock.elapsed() - call.arrived)
+            listener.ended(call, outcome, clock.elapsed() - call.receivedAt)
             return outcome
         } finally {
             withContext(NonCancellable) { control.thread.decide { control.service.ended() } }
@@ -40,11 +40,11 @@
     }
 }
 
-/** The filters of an entry daemon in their order. */
+/** Returns the filters of an entry daemon in their order. */
 fun entryFilters(
-    account: AccountFilter,
+    account: AccountingFilter,
     identify: IdentifyFilter,
-    admit: AdmitFilter,
+    admit: AdmissionFilter,
     relay: RelayFilter,
     send: SendFilter,
-): List<Filter<EntryCall>> = listOf(account, identify, GuardRepeatsFilter(), admit, relay, send)
+): List<Filter<EntryCall>> = listOf(account, identify, IdempotencyKeyFilter(), admit, relay, send)
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AdmitFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AdmissionFilter.kt
@@ -1,5 +1,5 @@
 /**
- * Lets a request wait for its turn and for a target with room.
+ * Queues a request until it is dispatched to a target with free capacity, or refuses it.
  */
 package lagoonrudder.traffic.entry
 
@@ -25,57 +25,57 @@
 import lagoonrudder.traffic.Work
 import kotlin.time.Duration.Companion.seconds
 
-class AdmitFilter(
+class AdmissionFilter(
     private val control: EntryControl,
 ) : Filter<EntryCall> {
     override suspend fun handle(
         call: EntryCall,
         next: Next<EntryCall>,
     ): Outcome {
-        val identity = call.identity
-        val key = identity.key.takeUnless { identity.route.idempotent }
-        val owner = key?.let { ownerFor(identity, it) }
+        val context = call.context
+        val key = context.key.takeUnless { context.route.idempotent }
+        val owner = key?.let { keyOwnerOf(context, it) }
         if (key != null && owner == null) return Outcome.Refused(Refusal.NoTarget(RETRY), Step.CHOOSE_TARGET, Peer.SELF)
-        call.ticket = ticketFor(identity, owner)
-        return when (val turn = awaitTurn(control, call.ticket) { enqueue(it) }) {
-            is DispatchResult.Refused -> Outcome.Refused(turn.refusal, Step.ADMIT, Peer.SELF)
+        call.ticket = ticketFor(context, owner)
+        return when (val dispatched = awaitDispatch(control, call.ticket) { enqueue(it) }) {
+            is DispatchResult.Refused -> Outcome.Refused(dispatched.refusal, Step.ADMIT, Peer.SELF)
             is DispatchResult.Sent -> {
-                call.choice = turn
+                call.choice = dispatched
                 next.proceed(call)
             }
         }
     }
 
-    private suspend fun ownerFor(
-        identity: Identity,
+    private suspend fun keyOwnerOf(
+        context: RequestContext,
         key: IdempotencyKey,
     ): TargetId? {
         val set = control.thread.decide { control.configuration.current }
-        return ownerOf(key, keyOwners(set.objects, identity.fleet))
+        return ownerOf(key, keyOwners(set.objects, context.fleet))
     }
 
     private fun ticketFor(
-        identity: Identity,
+        context: RequestContext,
         owner: TargetId?,
     ): Ticket {
         val waiting =
             QueuedRequest(
-                id = identity.request,
-                queueKey = QueueKey(identity.fleet.id, owner),
-                customer = identity.customer.id,
-                weight = identity.customer.weight,
-                priority = identity.route.priority,
-                cost = identity.tokens,
-                bytes = identity.bytes,
-                deadline = identity.deadline,
+                id = context.request,
+                queueKey = QueueKey(context.fleet.id, owner),
+                customer = context.customer.id,
+                weight = context.customer.weight,
+                priority = context.route.priority,
+                cost = context.tokens,
+                bytes = context.bytes,
+                deadline = context.deadline,
             )
         val need =
             RoutingRequest(
-                fleet = identity.fleet.id,
+                fleet = context.fleet.id,
                 owner = owner,
-                tokens = identity.tokens,
-                bytes = identity.bytes,
-                prefix = (identity.work as? Work.Generate)?.let { prefixOf(it.prompt) },
+                tokens = context.tokens,
+                bytes = context.bytes,
+                prefix = (context.work as? Work.Generate)?.let { prefixOf(it.prompt) },
                 excluded = emptySet(),
             )
         return Ticket(waiting, need)
@@ -86,22 +86,22 @@
     }
 }
 
-/** Waits until the request of [ticket] may go or is refused; a caller that goes away leaves the line. */
-internal suspend fun awaitTurn(
+/** Suspends until the request of [ticket] is dispatched or refused; cancellation removes it from its queue. */
+internal suspend fun awaitDispatch(
     control: EntryControl,
     ticket: Ticket,
     join: EntryControl.(Ticket) -> Deferred<DispatchResult>,
 ): DispatchResult {
-    var turn: DispatchResult? = null
-    val sleeper = control.thread.decide { control.join(ticket) }
+    var dispatched: DispatchResult? = null
+    val pending = control.thread.decide { control.join(ticket) }
     try {
-        return sleeper.await().also { turn = it }
+        return pending.await().also { dispatched = it }
     } finally {
-        if (turn == null) {
+        if (dispatched == null) {
             withContext(NonCancellable) {
                 control.thread.decide {
-                    val granted = if (sleeper.isCompleted) sleeper.getCompletedOrNull() else null
-                    if (granted is DispatchResult.Sent) control.ended(ticket, granted.target, failed = false) else control.withdraw(ticket)
+                    val completed = if (pending.isCompleted) pending.getCompletedOrNull() else null
+                    if (completed is DispatchResult.Sent) control.ended(ticket, completed.target, failed = false) else control.withdraw(ticket)
                 }
             }
         }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryCall.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryCall.kt
@@ -1,5 +1,5 @@
 /**
- * A caller's request on its way through the filters of an entry daemon.
+ * A caller's request in the filter chain of an entry daemon.
  */
 package lagoonrudder.traffic.entry
 
@@ -15,7 +15,7 @@
 import lagoonrudder.traffic.Work
 import kotlin.time.Duration
 
-/** What arrived from the caller. */
+/** A request as received from the caller. */
 class CallerRequest(
     val method: String,
     val path: String,
@@ -25,9 +25,9 @@
     val body: ByteArray,
 )
 
-/** The way back to the caller. Every function suspends until the caller has taken what was given. */
-interface AnswerSink {
-    /** Starts an answer; called once, before any bytes. */
+/** The response to the caller. Every function suspends until the caller has read what was written. */
+interface ResponseSink {
+    /** Starts a response; called once, before any bytes. */
     suspend fun start(
         status: Int,
         contentType: String,
@@ -36,18 +36,18 @@
 
     suspend fun write(data: ByteArray)
 
-    /** Marks the answer as whole. */
+    /** Marks the response as complete. */
     suspend fun finish(
         length: Long,
         checksum: Long,
     )
 
-    /** Breaks the connection so that the caller can't take the answer for whole. */
+    /** Aborts the connection so that the caller can't mistake the response for a complete one. */
     suspend fun abort(failure: Failure)
 }
 
-/** What the system knows of a request once it is identified. */
-data class Identity(
+/** The route, customer, limits and work of a request, as resolved by [IdentifyFilter]. */
+data class RequestContext(
     val request: RequestId,
     val route: OperatorObject.Route,
     val fleet: OperatorObject.Fleet,
@@ -60,7 +60,7 @@
     val bytes: Long,
 )
 
-/** A place in the line and what the request needs. */
+/** A request's queue entry and its requirements on a target. */
 data class Ticket(
     val waiting: QueuedRequest,
     val need: RoutingRequest,
@@ -68,15 +68,15 @@
 
 class EntryCall(
     val caller: CallerRequest,
-    val sink: AnswerSink,
-    val arrived: Duration,
+    val sink: ResponseSink,
+    val receivedAt: Duration,
 ) {
-    lateinit var identity: Identity
+    lateinit var context: RequestContext
 
-    /** The identity, or null while the request is not identified. */
-    fun identityOrNull(): Identity? = if (::identity.isInitialized) identity else null
+    /** Returns the request context, or null before the identify filter has set it. */
+    fun contextOrNull(): RequestContext? = if (::context.isInitialized) context else null
 
     lateinit var ticket: Ticket
     lateinit var choice: DispatchResult.Sent
-    lateinit var relay: AnswerRelay
+    lateinit var relay: ResponseRelay
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryControl.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryControl.kt
@@ -1,7 +1,7 @@
 /**
- * The controllers of an entry daemon, and the waiting requests that their decisions wake.
+ * The controllers of an entry daemon and the queued requests that are resumed by their decisions.
  *
- * Everything here runs on the control thread; filters call it through [ControlThread.decide].
+ * All functions run on the control thread; filters call them through [ControlThread.decide].
  */
 package lagoonrudder.traffic.entry
 
@@ -43,34 +43,34 @@
     val retries: RetryBudget = RetryBudget(),
 ) {
     private val dispatch = DispatchController(admission, routing)
-    private val relays = mutableMapOf<RequestId, AnswerRelay>()
-    private val sleepers = mutableMapOf<RequestId, CompletableDeferred<DispatchResult>>()
+    private val relays = mutableMapOf<RequestId, ResponseRelay>()
+    private val pendingDispatches = mutableMapOf<RequestId, CompletableDeferred<DispatchResult>>()
 
-    /** Lets a request wait; the result is completed when it may go or is refused. */
+    /** Queues a request; the result completes when the request is dispatched or refused. */
     fun enqueue(ticket: Ticket): CompletableDeferred<DispatchResult> {
         val now = clock.elapsed()
-        val sleeper = CompletableDeferred<DispatchResult>()
+        val pending = CompletableDeferred<DispatchResult>()
         when (val decision = dispatch.enqueue(ticket.waiting, ticket.need, now)) {
-            is QueueDecision.Refused -> sleeper.complete(DispatchResult.Refused(ticket.waiting.id, decision.refusal))
+            is QueueDecision.Refused -> pending.complete(DispatchResult.Refused(ticket.waiting.id, decision.refusal))
             QueueDecision.Queued -> {
-                sleepers[ticket.waiting.id] = sleeper
+                pendingDispatches[ticket.waiting.id] = pending
                 dispatchWaiting()
             }
         }
-        return sleeper
+        return pending
     }
 
-    /** Lets a request that did not get its answer wait again. */
+    /** Queues a request again whose attempt produced no response. */
     fun requeue(ticket: Ticket): CompletableDeferred<DispatchResult> {
-        val sleeper = CompletableDeferred<DispatchResult>()
-        sleepers[ticket.waiting.id] = sleeper
+        val pending = CompletableDeferred<DispatchResult>()
+        pendingDispatches[ticket.waiting.id] = pending
         dispatch.requeue(ticket.waiting, ticket.need, clock.elapsed())
         dispatchWaiting()
-        return sleeper
+        return pending
     }
 
     fun withdraw(ticket: Ticket) {
-        sleepers.remove(ticket.waiting.id)
+        pendingDispatches.remove(ticket.waiting.id)
         dispatch.withdraw(ticket.waiting)
     }
 
@@ -93,7 +93,7 @@
         dispatchWaiting()
     }
 
-    /** An answer carried back what room its target has. */
+    /** Handles the load of a target that arrived with a response. */
     fun onLoadUpdate(
         target: TargetId,
         load: TargetLoad,
@@ -109,7 +109,7 @@
         dispatchWaiting()
     }
 
-    /** A new set is in force, or the list of instances changed. */
+    /** Handles a new active configuration or a change in the list of instances. */
     fun configured() {
         val entries = membership.instances().count { it.role == DaemonRole.ENTRY && it.domain == domain && !it.leaving }
         routing.configure(configuration.current.objects, entries)
@@ -117,15 +117,15 @@
     }
 
     fun dispatchWaiting() {
-        for (dispatched in dispatch.dispatchWaiting(clock.elapsed())) sleepers.remove(dispatched.request)?.complete(dispatched)
+        for (dispatched in dispatch.dispatchWaiting(clock.elapsed())) pendingDispatches.remove(dispatched.request)?.complete(dispatched)
     }
 
-    /** Opens the memory of an answer; false when the budget has no room for it. */
+    /** Reserves the buffer of a response; returns false if the memory budget does not allow it. */
     fun open(
         request: RequestId,
-        relay: AnswerRelay,
+        relay: ResponseRelay,
     ): Boolean {
-        val opened = readers.open(request, AnswerRelay.BASE_BYTES, clock.elapsed()) is BufferDecision.Granted
+        val opened = readers.open(request, ResponseRelay.BASE_BYTES, clock.elapsed()) is BufferDecision.Granted
         if (opened) relays[request] = relay
         return opened
     }
@@ -135,7 +135,7 @@
         readers.close(request)
     }
 
-    /** Notes the regular tick; returns whether the process was paused, in which case its configuration must be confirmed. */
+    /** Handles the periodic tick; returns whether the process was paused, in which case its configuration must be confirmed. */
     fun wasPaused(limit: Duration): Boolean {
         val now = clock.elapsed()
         val paused = service.tick(now)
@@ -143,7 +143,7 @@
         return paused
     }
 
-    /** Time has passed: late requests are refused and a stalled answer may have to give up its back end. */
+    /** Handles the passage of time: refuses requests past their deadline and may park one stalled response to free its back end. */
     fun tick() {
         dispatchWaiting()
         val victim = readers.victim(admission.nonEmptyQueues().isNotEmpty(), clock.elapsed()) ?: return
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/Reservations.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/KeyReservations.kt
@@ -1,8 +1,8 @@
 /**
- * Reserves keys of requests that may run at most once, and hands keys over between owners.
+ * Reserves idempotency keys of requests that may run at most once, and transfers keys between owners.
  *
- * When a key moved to this target lately, its earlier owners are asked first. A key that an earlier owner can't speak for
- * is answered as uncertain.
+ * If a key has recently moved to this target, its previous owners are queried first. If a previous owner can't be reached,
+ * the decision on its key is "uncertain".
  */
 package lagoonrudder.traffic.target
 
@@ -14,19 +14,19 @@
 import lagoonrudder.model.TargetId
 import lagoonrudder.traffic.ReserveRequest
 import lagoonrudder.traffic.SurrenderRequest
-import lagoonrudder.traffic.TargetLink
+import lagoonrudder.traffic.TargetClient
 import kotlin.time.Duration.Companion.milliseconds
 
-class Reservations(
+class KeyReservations(
     private val control: TargetControl,
-    private val link: TargetLink,
+    private val client: TargetClient,
     private val clock: Clock,
 ) {
     suspend fun reserve(request: ReserveRequest): IdempotencyDecision {
         awaitRevision(request.revision.number)
         val decision = control.thread.decide { decide(request, emptySet()) }
         if (decision !is IdempotencyDecision.QueryPreviousOwners) return decision
-        for (owner in decision.owners) askOwner(owner, request)?.let { return it }
+        for (owner in decision.owners) requestRelease(owner, request)?.let { return it }
         return control.thread.decide { decide(request, decision.owners.toSet()) }
     }
 
@@ -44,28 +44,28 @@
         return control.repeats.reserve(request.key, request.body, clock.elapsed(), clock.now(), cleared)
     }
 
-    /** Null when [owner] surrendered the key unseen. */
-    private suspend fun askOwner(
+    /** Asks [owner] to release the key; returns null if it did so without having seen a request with that key. */
+    private suspend fun requestRelease(
         owner: TargetId,
         request: ReserveRequest,
     ): IdempotencyDecision? {
         val instance = control.thread.decide { control.membership.daemonOf(owner) }
         val revision = control.thread.decide { control.configuration.current.revision }
-        val response = instance?.let { link.surrender(it, SurrenderRequest(request.key, revision), ASK_LIMIT).getOrNull() }
-        return when (response) {
-            null -> IdempotencyDecision.Uncertain("the earlier owner ${owner.text} of the key can't be asked")
+        val answer = instance?.let { client.surrender(it, SurrenderRequest(request.key, revision), RELEASE_TIMEOUT).getOrNull() }
+        return when (answer) {
+            null -> IdempotencyDecision.Uncertain("the previous owner ${owner.text} of the key can't be reached")
             SurrenderResult.Released -> null
-            is SurrenderResult.AlreadyRan -> IdempotencyDecision.AlreadyRan(response.response)
-            is SurrenderResult.Uncertain -> IdempotencyDecision.Uncertain(response.detail)
+            is SurrenderResult.AlreadyRan -> IdempotencyDecision.AlreadyRan(answer.answer)
+            is SurrenderResult.Uncertain -> IdempotencyDecision.Uncertain(answer.detail)
         }
     }
 
-    private suspend fun awaitRevision(wanted: Long) {
-        if (control.revision.value >= wanted) return
-        withTimeoutOrNull(TargetControl.CATCH_UP_LIMIT) { control.revision.first { it >= wanted } }
+    private suspend fun awaitRevision(required: Long) {
+        if (control.revision.value >= required) return
+        withTimeoutOrNull(TargetControl.CATCH_UP_LIMIT) { control.revision.first { it >= required } }
     }
 
     private companion object {
-        val ASK_LIMIT = 700.milliseconds
+        val RELEASE_TIMEOUT = 700.milliseconds
     }
 }
--- a/traffic/src/test/kotlin/lagoonrudder/traffic/direct/DirectSendFilterTest.kt
+++ b/traffic/src/test/kotlin/lagoonrudder/traffic/direct/DirectSendFilterTest.kt
@@ -17,17 +17,17 @@
 import kotlinx.coroutines.test.currentTime
 import kotlinx.coroutines.test.runTest
 import lagoonrudder.control.ControlThread
+import lagoonrudder.control.direct.BackEndStateController
+import lagoonrudder.control.direct.DecodedItem
 import lagoonrudder.control.direct.PeerController
 import lagoonrudder.control.direct.PeerDaemon
 import lagoonrudder.control.direct.PlacementBounds
 import lagoonrudder.control.direct.PlacementController
-import lagoonrudder.control.direct.Places
-import lagoonrudder.control.direct.PublicationController
-import lagoonrudder.control.direct.ReadItem
-import lagoonrudder.control.direct.RepeatBounds
-import lagoonrudder.control.direct.RepeatShare
-import lagoonrudder.control.direct.SlotController
+import lagoonrudder.control.direct.RetryBudgetBounds
+import lagoonrudder.control.direct.RetryBudgetShare
 import lagoonrudder.control.direct.StoreItem
+import lagoonrudder.control.direct.StoreViewController
+import lagoonrudder.control.direct.Topology
 import lagoonrudder.model.Address
 import lagoonrudder.model.BackEnd
 import lagoonrudder.model.CallerLimits
@@ -66,23 +66,23 @@
 private val REGION = RegionId("first")
 private val SERVICE = ServiceId("service")
 
-/** What a back end does with one attempt. */
+/** The scripted behaviour of a back end for one attempt. */
 private sealed class Behaviour {
     data object Unreachable : Behaviour()
 
     data class Answers(
-        val events: List<AnswerEvent>,
+        val events: List<ResponseEvent>,
     ) : Behaviour()
 
     /** Sends [events] and then nothing more. */
     data class Silent(
-        val events: List<AnswerEvent>,
+        val events: List<ResponseEvent>,
     ) : Behaviour()
 }
 
-private class FakeLink(
+private class FakeClient(
     private val behaviours: MutableList<Behaviour>,
-) : BackEndLink {
+) : BackEndClient {
     val attempts = mutableListOf<DirectAttempt>()
     var abandoned = 0
 
@@ -95,16 +95,16 @@
         }
     }
 
-    override fun distrust(backEnd: BackEnd) = Unit
+    override fun discardIdleConnections(backEnd: BackEnd) = Unit
 
     private inner class FakeAttempt(
-        events: List<AnswerEvent>,
+        events: List<ResponseEvent>,
         private val silent: Boolean,
     ) : OpenAttempt {
         private val rest = ArrayDeque(events)
 
-        override suspend fun next(): AnswerEvent =
-            rest.removeFirstOrNull() ?: if (silent) awaitCancellation() else AnswerEvent.Broken("connection closed")
+        override suspend fun next(): ResponseEvent =
+            rest.removeFirstOrNull() ?: if (silent) awaitCancellation() else ResponseEvent.Broken("connection closed")
 
         override fun abandon() {
             abandoned++
@@ -112,13 +112,13 @@
     }
 }
 
-private class FakeAnswer : CallerAnswer {
-    val heads = mutableListOf<AnswerHead>()
+private class FakeResponse : CallerResponse {
+    val heads = mutableListOf<ResponseHead>()
     val body = StringBuilder()
     var ended = false
 
-    override suspend fun whole(
-        head: AnswerHead,
+    override suspend fun respond(
+        head: ResponseHead,
         body: ByteArray,
     ) {
         heads += head
@@ -126,7 +126,7 @@
         ended = true
     }
 
-    override suspend fun begin(head: AnswerHead) {
+    override suspend fun begin(head: ResponseHead) {
         heads += head
     }
 
@@ -142,17 +142,17 @@
 private fun head(
     status: Int = 200,
     execution: Execution = Execution.RUN,
-) = AnswerEvent.Head(AnswerHead(status, emptyList(), null, execution, null))
+) = ResponseEvent.Head(ResponseHead(status, emptyList(), null, execution, null))
 
-private fun bytes(text: String) = AnswerEvent.Bytes(text.encodeToByteArray())
+private fun bytes(text: String) = ResponseEvent.Bytes(text.encodeToByteArray())
 
 private fun event(number: Int) = bytes("id: $number\ndata: $number\n\n")
 
 private fun text(vararg numbers: Int) = numbers.joinToString("") { "id: $it\ndata: $it\n\n" }
 
-private val NOT_RUN = Behaviour.Answers(listOf(head(503, Execution.NOT_RUN), AnswerEvent.End))
+private val NOT_RUN = Behaviour.Answers(listOf(head(503, Execution.NOT_RUN), ResponseEvent.End))
 private val RESET = Behaviour.Answers(emptyList())
-private val WHOLE = Behaviour.Answers(listOf(head(), bytes("done"), AnswerEvent.End))
+private val WHOLE = Behaviour.Answers(listOf(head(), bytes("done"), ResponseEvent.End))
 
 @OptIn(ExperimentalCoroutinesApi::class)
 private class Scene(
@@ -168,29 +168,29 @@
             override fun elapsed() = scope.currentTime.milliseconds
         }
     private val invariants = Invariants { error("violated: $it") }
-    private val publication = PublicationController(invariants)
+    private val storeView = StoreViewController(invariants)
     private val self = PeerDaemon(DaemonId("self"), DaemonRole.ENTRY, DOMAIN, REGION, null)
     private val peers = PeerController(self, emptyList())
     private val placement =
         PlacementController(
-            Places(DOMAIN, mapOf(DOMAIN to REGION)),
+            Topology(DOMAIN, mapOf(DOMAIN to REGION)),
             PlacementBounds(8.seconds, 1.5, 5.0),
-            publication,
+            storeView,
             peers,
-            SlotController(),
+            BackEndStateController(),
             Random(1),
         )
     private val control =
         DirectControl(
             ControlThread.virtual(StandardTestDispatcher(scope.testScheduler), clock, invariants),
             clock,
-            publication,
+            storeView,
             peers,
             placement,
-            RepeatShare(RepeatBounds(0.2, 10.seconds, 100.0)),
+            RetryBudgetShare(RetryBudgetBounds(0.2, 10.seconds, 100.0)),
         )
-    val link = FakeLink(behaviours.toMutableList())
-    val answer = FakeAnswer()
+    val link = FakeClient(behaviours.toMutableList())
+    val answer = FakeResponse()
     val inFlight get() = placement.inFlight()
     private val chain = FilterChain(directFilters(control, link, Random(1)) { _, _ -> })
 
@@ -218,16 +218,16 @@
                 index,
                 each,
                 ->
-                ReadItem(StoreItem("servers/${each.id.text}", index + 2L, ByteArray(0)), StoreRecord.Registered(each))
+                DecodedItem(StoreItem("servers/${each.id.text}", index + 2L, ByteArray(0)), StoreRecord.Registered(each))
             }
-        publication.take(items + ReadItem(StoreItem("op/config", 1, ByteArray(0)), StoreRecord.Configuration(set)), 9, Duration.ZERO)
+        storeView.applyChanges(items + DecodedItem(StoreItem("op/config", 1, ByteArray(0)), StoreRecord.Configuration(set)), 9, Duration.ZERO)
     }
 
     suspend fun run(
         path: String = "/a/b",
         timeLeft: Duration = 4.seconds,
     ): Outcome {
-        val request = CallerRequest(RequestId("r"), "POST", "host", path, null, timeLeft, null, null, emptyList(), ByteArray(0))
+        val request = DirectRequest(RequestId("r"), "POST", "host", path, null, timeLeft, null, null, emptyList(), ByteArray(0))
         return chain.run(DirectCall(request, answer, clock.elapsed()))
     }
 }
@@ -237,7 +237,7 @@
 @OptIn(ExperimentalCoroutinesApi::class)
 class DirectSendFilterTest :
     FunSpec({
-        test("a request that may run once is not sent again after a reset, and its end promises nothing") {
+        test("an at-most-once request is not retried after a reset, and its outcome is unknown") {
             runTest {
                 val scene = Scene(this, RequestKind.AtMostOnce, 2, RESET, WHOLE)
                 scene.run().shouldBeInstanceOf<Outcome.Unknown>()
@@ -245,7 +245,7 @@
             }
         }
 
-        test("a request that may run once is sent again after a proof that it did not run, and after no connection") {
+        test("an at-most-once request is retried after proof that it did not run, and if no connection could be opened") {
             runTest {
                 val scene = Scene(this, RequestKind.AtMostOnce, 1, NOT_RUN, Behaviour.Unreachable, WHOLE)
                 scene.run().shouldBeInstanceOf<Outcome.Completed>()
@@ -256,7 +256,7 @@
             }
         }
 
-        test("a silent back end of a request that may run once is waited for until the time is over, then the end is unknown") {
+        test("an at-most-once request waits for an unresponsive back end until its deadline, then its outcome is unknown") {
             runTest {
                 val scene = Scene(this, RequestKind.AtMostOnce, 2, Behaviour.Silent(emptyList()))
                 scene.run(timeLeft = 2.seconds).shouldBeInstanceOf<Outcome.Unknown>()
@@ -265,7 +265,7 @@
             }
         }
 
-        test("an idempotent request goes elsewhere after a reset, but to no more back ends than its route allows") {
+        test("an idempotent request is retried elsewhere after a reset, but at no more back ends than its route allows") {
             runTest {
                 val scene = Scene(this, RequestKind.Idempotent, 2, RESET, RESET, WHOLE)
                 scene.run().shouldBeInstanceOf<Outcome.Unknown>()
@@ -273,9 +273,9 @@
             }
         }
 
-        test("an idempotent request whose back end failed it is tried once more, and the failure is passed on unchanged") {
+        test("an idempotent request is retried once after an error response, and the error is forwarded unchanged") {
             runTest {
-                val failed = Behaviour.Answers(listOf(head(500), bytes("bad"), AnswerEvent.End))
+                val failed = Behaviour.Answers(listOf(head(500), bytes("bad"), ResponseEvent.End))
                 val scene = Scene(this, RequestKind.Idempotent, 2, failed, failed)
                 scene.run().shouldBeInstanceOf<Outcome.Completed>()
                 scene.answer.heads
@@ -285,10 +285,10 @@
             }
         }
 
-        test("the failure of a request that may run once is passed on at once") {
+        test("the error response to an at-most-once request is forwarded without a retry") {
             runTest {
                 val scene =
-                    Scene(this, RequestKind.AtMostOnce, 2, Behaviour.Answers(listOf(head(500), bytes("bad"), AnswerEvent.End)), WHOLE)
+                    Scene(this, RequestKind.AtMostOnce, 2, Behaviour.Answers(listOf(head(500), bytes("bad"), ResponseEvent.End)), WHOLE)
                 scene.run()
                 scene.link.attempts shouldHaveSize 1
                 scene.answer.heads
@@ -297,16 +297,16 @@
             }
         }
 
-        test("an answer that proves nothing of its origin is never passed on") {
+        test("a response without proof of execution is never forwarded") {
             runTest {
-                val forged = Behaviour.Answers(listOf(head(200, Execution.UNPROVEN), bytes("forged"), AnswerEvent.End))
+                val forged = Behaviour.Answers(listOf(head(200, Execution.UNPROVEN), bytes("forged"), ResponseEvent.End))
                 val scene = Scene(this, RequestKind.AtMostOnce, 2, forged)
                 scene.run().shouldBeInstanceOf<Outcome.Unknown>()
                 scene.answer.body.toString() shouldBe ""
             }
         }
 
-        test("an answer that breaks off before it is whole is replaced") {
+        test("a response that is truncated before it is complete is replaced") {
             runTest {
                 val broken = Behaviour.Answers(listOf(head(), bytes("do")))
                 val scene = Scene(this, RequestKind.Idempotent, 2, broken, WHOLE)
@@ -315,11 +315,11 @@
             }
         }
 
-        test("a stream goes on after its last whole event within the same answer") {
+        test("a stream resumes after its last complete event within the same response") {
             runTest {
-                val torn = Behaviour.Answers(listOf(head(), event(1), event(2), bytes("id: 3\nda")))
-                val rest = Behaviour.Answers(listOf(head(), event(3), event(4), AnswerEvent.End))
-                val scene = Scene(this, STREAM, 2, torn, rest)
+                val truncated = Behaviour.Answers(listOf(head(), event(1), event(2), bytes("id: 3\nda")))
+                val rest = Behaviour.Answers(listOf(head(), event(3), event(4), ResponseEvent.End))
+                val scene = Scene(this, STREAM, 2, truncated, rest)
                 scene.run().shouldBeInstanceOf<Outcome.Completed>()
                 scene.link.attempts.map { it.resumeAfter } shouldContainExactly listOf(null, EventId(2))
                 scene.answer.heads shouldHaveSize 1
@@ -327,18 +327,18 @@
             }
         }
 
-        test("events that were passed on before are not passed on again, and a gap breaks the answer") {
+        test("events that were already forwarded are not forwarded again, and a gap breaks the response") {
             runTest {
-                val torn = Behaviour.Answers(listOf(head(), event(1), event(2)))
-                val overlapping = Behaviour.Answers(listOf(head(), event(2), event(3), AnswerEvent.End))
-                val scene = Scene(this, STREAM, 2, torn, overlapping)
+                val truncated = Behaviour.Answers(listOf(head(), event(1), event(2)))
+                val overlapping = Behaviour.Answers(listOf(head(), event(2), event(3), ResponseEvent.End))
+                val scene = Scene(this, STREAM, 2, truncated, overlapping)
                 scene.run().shouldBeInstanceOf<Outcome.Completed>()
                 scene.answer.body.toString() shouldBe text(1, 2, 3)
             }
             runTest {
-                val torn = Behaviour.Answers(listOf(head(), event(1)))
-                val gap = Behaviour.Answers(listOf(head(), event(3), AnswerEvent.End))
-                val scene = Scene(this, STREAM, 2, torn, gap)
+                val truncated = Behaviour.Answers(listOf(head(), event(1)))
+                val gap = Behaviour.Answers(listOf(head(), event(3), ResponseEvent.End))
+                val scene = Scene(this, STREAM, 2, truncated, gap)
                 scene.run().shouldBeInstanceOf<Outcome.Broken>()
                 scene.answer.ended shouldBe false
                 scene.answer.body.toString() shouldBe text(1)
@@ -347,13 +347,13 @@
 
         test("a stream that ends inside an event is not complete") {
             runTest {
-                val scene = Scene(this, STREAM, 1, Behaviour.Answers(listOf(head(), event(1), bytes("id: 2"), AnswerEvent.End)))
+                val scene = Scene(this, STREAM, 1, Behaviour.Answers(listOf(head(), event(1), bytes("id: 2"), ResponseEvent.End)))
                 scene.run().shouldBeInstanceOf<Outcome.Broken>()
                 scene.answer.ended shouldBe false
             }
         }
 
-        test("a stream whose back end falls silent goes elsewhere before the caller gives up") {
+        test("a stream whose back end stops sending is resumed elsewhere before the caller gives up") {
             runTest {
                 val scene =
                     Scene(
@@ -361,7 +361,7 @@
                         STREAM,
                         2,
                         Behaviour.Silent(listOf(head(), event(1))),
-                        Behaviour.Answers(listOf(head(), event(2), AnswerEvent.End)),
+                        Behaviour.Answers(listOf(head(), event(2), ResponseEvent.End)),
                     )
                 scene.run().shouldBeInstanceOf<Outcome.Completed>()
                 testScheduler.currentTime shouldBe 1_000
@@ -369,7 +369,7 @@
             }
         }
 
-        test("a request that was never run when its time ends is refused") {
+        test("a request that every back end rejected is refused") {
             runTest {
                 val scene = Scene(this, RequestKind.AtMostOnce, 1, NOT_RUN, NOT_RUN, NOT_RUN)
                 scene
@@ -380,7 +380,7 @@
             }
         }
 
-        test("a caller that leaves ends its attempt and frees its place") {
+        test("a caller that disconnects cancels its attempt and frees its slot") {
             runTest {
                 val scene = Scene(this, STREAM, 2, Behaviour.Silent(listOf(head(), event(1))))
                 val running = launch { scene.run() }
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/DirectMessages.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/DirectMessages.kt
@@ -10,7 +10,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.protobuf.ProtoNumber
 import lagoonrudder.control.direct.PeerDaemon
-import lagoonrudder.control.direct.PeerSighting
+import lagoonrudder.control.direct.LivePeer
 import lagoonrudder.control.direct.SlotWord
 import lagoonrudder.control.direct.StoreItem
 import lagoonrudder.control.direct.WeightManifest
@@ -85,7 +85,7 @@
     @ProtoNumber(1) val self: PeerMessage,
     @ProtoNumber(2) val at: Long,
     @ProtoNumber(3) val loads: List<InFlightMessage> = emptyList(),
-    @ProtoNumber(4) val sightings: List<LivePeerMessage> = emptyList(),
+    @ProtoNumber(4) val livePeers: List<LivePeerMessage> = emptyList(),
     @ProtoNumber(5) val items: List<ItemMessage> = emptyList(),
 )
 
@@ -107,9 +107,9 @@
         address = addressOrNull(address),
     )
 
-fun PeerSighting.toMessage() = LivePeerMessage(peer.toMessage(), age.inWholeMilliseconds)
+fun LivePeer.toMessage() = LivePeerMessage(peer.toMessage(), age.inWholeMilliseconds)
 
-fun LivePeerMessage.toLivePeer() = PeerSighting(peer.toPeer(), ageMilliseconds.milliseconds)
+fun LivePeerMessage.toLivePeer() = LivePeer(peer.toPeer(), ageMilliseconds.milliseconds)
 
 fun Map<TargetId, Int>.toMessages() = map { InFlightMessage(it.key.text, it.value) }
 
--- a/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcClient.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcClient.kt
@@ -38,7 +38,7 @@
 import lagoonrudder.traffic.RunEvent
 import lagoonrudder.traffic.RunRequest
 import lagoonrudder.traffic.SurrenderRequest
-import lagoonrudder.traffic.TargetLink
+import lagoonrudder.traffic.TargetClient
 import lagoonrudder.wire.messages.ChunkMessage
 import lagoonrudder.wire.messages.ChunkReply
 import lagoonrudder.wire.messages.EmptyMessage
@@ -64,7 +64,7 @@
 )
 
 class RpcClient :
-    TargetLink,
+    TargetClient,
     AutoCloseable {
     private enum class ChannelPurpose { REQUESTS, BULK }
 
