--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/VersionSwitchLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/VersionSwitchLoop.kt
@@ -91,7 +91,7 @@
         val restarted = lastIncarnation != null && lastIncarnation != state.incarnation
         lastIncarnation = state.incarnation
         core.thread.decide {
-            control.switch.read(state)
+            control.switch.onEngineState(state)
             control.limits.onEngineIncarnation(state.incarnation)
             if (restarted) weights.onEngineRestarted()
             control.publish()
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/WeightDistributionLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/WeightDistributionLoop.kt
@@ -103,7 +103,7 @@
         chunk: ChunkIndex,
     ): ByteArray? =
         core.thread.decide {
-            if (chunk == MANIFEST_INDEX) manifest?.takeIf { currentVersion?.id == version } else control.weights.held(version, chunk)
+            if (chunk == MANIFEST_INDEX) manifest?.takeIf { currentVersion?.id == version } else control.weights.heldChunk(version, chunk)
         }
 
     private fun willHoldLater(version: VersionId): Boolean {
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AccountingFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AccountingFilter.kt
@@ -35,7 +35,7 @@
             listener.ended(call, outcome, clock.elapsed() - call.receivedAt)
             return outcome
         } finally {
-            withContext(NonCancellable) { control.thread.decide { control.service.ended() } }
+            withContext(NonCancellable) { control.thread.decide { control.service.onRequestEnded() } }
         }
     }
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryControl.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryControl.kt
@@ -80,7 +80,7 @@
         failed: Boolean,
         heldBack: Duration = Duration.ZERO,
     ) {
-        dispatch.ended(ticket.waiting, target, failed, heldBack, clock.elapsed())
+        dispatch.onRequestEnded(ticket.waiting, target, failed, heldBack, clock.elapsed())
         dispatchWaiting()
     }
 
@@ -146,7 +146,7 @@
     /** Handles the passage of time: refuses requests past their deadline and may park one stalled response to free its back end. */
     fun tick() {
         dispatchWaiting()
-        val victim = readers.victim(admission.nonEmptyQueues().isNotEmpty(), clock.elapsed()) ?: return
+        val victim = readers.selectVictim(admission.nonEmptyQueues().isNotEmpty(), clock.elapsed()) ?: return
         readers.park(victim)
         relays[victim]?.park?.complete(Unit)
     }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/ResponseRelay.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/ResponseRelay.kt
@@ -115,7 +115,7 @@
     }
 
     private fun reserveMore(): BufferDecision {
-        val decision = control.readers.hold(request, STEP_BYTES)
+        val decision = control.readers.reserve(request, STEP_BYTES)
         if (decision is BufferDecision.Granted) reservedBytes += STEP_BYTES
         return decision
     }
@@ -131,7 +131,7 @@
     private suspend fun releaseBuffer() {
         if (reservedBytes <= BASE_BYTES || bufferedBytes.get() > BASE_BYTES / 2) return
         control.thread.decide {
-            control.readers.read(request, reservedBytes - BASE_BYTES, clock.elapsed())
+            control.readers.onRead(request, reservedBytes - BASE_BYTES, clock.elapsed())
             reservedBytes = BASE_BYTES
         }
     }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/KeyReservations.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/KeyReservations.kt
@@ -55,7 +55,7 @@
         return when (answer) {
             null -> IdempotencyDecision.Uncertain("the previous owner ${owner.text} of the key can't be reached")
             SurrenderResult.Released -> null
-            is SurrenderResult.AlreadyRan -> IdempotencyDecision.AlreadyRan(answer.answer)
+            is SurrenderResult.AlreadyRan -> IdempotencyDecision.AlreadyRan(answer.response)
             is SurrenderResult.Uncertain -> IdempotencyDecision.Uncertain(answer.detail)
         }
     }
