--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/Caller.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/Caller.kt
@@ -1,5 +1,5 @@
 /**
- * A caller: sends requests to an entry daemon and checks that each answer is whole and its own.
+ * Sends requests to an entry daemon and verifies that each response is complete and belongs to its request.
  */
 package lagoonrudder.standins
 
@@ -30,48 +30,48 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** How a call ended for its caller. */
-sealed class CallEnd {
-    /** The whole answer came; [firstByte] and [total] count from the start of the call. */
-    data class Whole(
+/** The outcome of a call as its caller sees it. */
+sealed class Reply {
+    /** The complete response arrived; [firstByte] and [total] are measured from the start of the call. */
+    data class Complete(
         val text: String,
         val version: String,
         val firstByte: Duration,
         val total: Duration,
         val gaps: List<Duration>,
-    ) : CallEnd()
+    ) : Reply()
 
-    /** The system said that the request did not run. */
+    /** The system reported that the request was not executed. */
     data class NotRun(
         val code: String,
         val total: Duration,
         val retryAfter: Duration?,
-    ) : CallEnd()
+    ) : Reply()
 
-    /** The system said that it does not know. */
+    /** The system reported that it does not know whether the request was executed. */
     data class Unknown(
         val detail: String,
-    ) : CallEnd()
+    ) : Reply()
 
-    /** The answer broke visibly, or there was none. */
+    /** The response ended with an error or before its end event, or none arrived in time. */
     data class Broken(
         val detail: String,
-    ) : CallEnd()
+    ) : Reply()
 
-    /** The answer claimed to be whole and was not what it should be. */
+    /** The response was marked as complete but its content was not the expected one. */
     data class Wrong(
         val detail: String,
-    ) : CallEnd()
+    ) : Reply()
 }
 
-/** A request for text as a caller makes it; [pause] is what the caller waits after each event that it reads. */
+/** A text generation request; the caller waits for [readDelay] after each event that it reads. */
 data class TextCall(
     val path: String,
     val token: String,
     val prompt: String,
     val tokens: Int,
     val limit: Duration = 20.seconds,
-    val pause: Duration = Duration.ZERO,
+    val readDelay: Duration = Duration.ZERO,
 )
 
 class Caller(
@@ -81,8 +81,8 @@
     suspend fun text(
         entry: Address,
         call: TextCall,
-    ): CallEnd =
-        guarded(call.limit) {
+    ): Reply =
+        callWithin(call.limit) {
             val body =
                 buildJsonObject {
                     put("prompt", call.prompt)
@@ -100,12 +100,12 @@
                 ) {
                     readText(response, call, started)
                 } else {
-                    problem(response, started)
+                    readError(response, started)
                 }
             }
         }
 
-    /** Sends an order that may run at most once. */
+    /** Sends an order that may run at most once, with [key] as its idempotency key. */
     suspend fun order(
         entry: Address,
         path: String,
@@ -113,8 +113,8 @@
         key: String,
         body: String,
         limit: Duration = 20.seconds,
-    ): CallEnd =
-        guarded(limit) {
+    ): Reply =
+        callWithin(limit) {
             val started = clock.elapsed()
             val request =
                 http.preparePost("http://$entry$path") {
@@ -126,9 +126,9 @@
                 if (response.status == HttpStatusCode.OK) {
                     val text = response.bodyAsText()
                     val took = clock.elapsed() - started
-                    if (text == "{\"done\":\"$body\"}") CallEnd.Whole(text, "", took, took, emptyList()) else CallEnd.Wrong(text)
+                    if (text == "{\"done\":\"$body\"}") Reply.Complete(text, "", took, took, emptyList()) else Reply.Wrong(text)
                 } else {
-                    problem(response, started)
+                    readError(response, started)
                 }
             }
         }
@@ -137,60 +137,60 @@
         response: HttpResponse,
         call: TextCall,
         started: Duration,
-    ): CallEnd {
-        val lines = response.bodyAsChannel()
+    ): Reply {
+        val channel = response.bodyAsChannel()
         val text = StringBuilder()
         val times = mutableListOf<Duration>()
-        var ending = false
+        var atEndEvent = false
         while (true) {
-            val line = lines.readLine() ?: return CallEnd.Broken("ended without its end event after ${text.length}")
+            val line = channel.readLine() ?: return Reply.Broken("response ended without its end event after ${text.length} characters")
             when {
-                line == "event: end" -> ending = true
-                ending && line.startsWith(DATA) -> return judge(line.removePrefix(DATA), text.toString(), call, started, times)
+                line == "event: end" -> atEndEvent = true
+                atEndEvent && line.startsWith(DATA) -> return verify(line.removePrefix(DATA), text.toString(), call, started, times)
                 line.startsWith(DATA) -> {
                     text.append(Json.decodeFromString(CompletionTextJson.serializer(), line.removePrefix(DATA)).text)
                     times += clock.elapsed()
-                    if (call.pause > Duration.ZERO) delay(call.pause)
+                    if (call.readDelay > Duration.ZERO) delay(call.readDelay)
                 }
             }
         }
     }
 
-    private fun judge(
+    private fun verify(
         line: String,
         text: String,
         call: TextCall,
         started: Duration,
         times: List<Duration>,
-    ): CallEnd {
+    ): Reply {
         val end = Json.decodeFromString(CompletionEndJson.serializer(), line)
-        if (text != wholeAnswer(end.version, call.prompt, call.tokens)) return CallEnd.Wrong("length ${text.length} version ${end.version}")
+        if (text != expectedText(end.version, call.prompt, call.tokens)) return Reply.Wrong("length ${text.length} version ${end.version}")
         val first = (times.firstOrNull() ?: clock.elapsed()) - started
-        return CallEnd.Whole(text, end.version, first, clock.elapsed() - started, times.zipWithNext { one, two -> two - one })
+        return Reply.Complete(text, end.version, first, clock.elapsed() - started, times.zipWithNext { one, two -> two - one })
     }
 
-    private suspend fun problem(
+    private suspend fun readError(
         response: HttpResponse,
         started: Duration,
-    ): CallEnd {
-        val problem = Json.decodeFromString(ProblemJson.serializer(), response.bodyAsText())
-        val detail = "${problem.code} step=${problem.step} peer=${problem.peer} ${problem.detail}"
+    ): Reply {
+        val error = Json.decodeFromString(ProblemJson.serializer(), response.bodyAsText())
+        val detail = "${error.code} step=${error.step} peer=${error.peer} ${error.detail}"
         val retryAfter = response.headers[HttpHeaders.RetryAfter]?.toLongOrNull()?.seconds
-        return if (problem.outcome == "not-run") CallEnd.NotRun(detail, clock.elapsed() - started, retryAfter) else CallEnd.Unknown(detail)
+        return if (error.outcome == "not-run") Reply.NotRun(detail, clock.elapsed() - started, retryAfter) else Reply.Unknown(detail)
     }
 
-    private suspend fun guarded(
+    private suspend fun callWithin(
         limit: Duration,
-        call: suspend () -> CallEnd,
-    ): CallEnd =
+        call: suspend () -> Reply,
+    ): Reply =
         try {
-            withTimeoutOrNull(limit) { call() } ?: CallEnd.Broken("no end within $limit")
+            withTimeoutOrNull(limit) { call() } ?: Reply.Broken("no complete response within $limit")
         } catch (cancelled: CancellationException) {
             throw cancelled
         } catch (
             @Suppress("TooGenericExceptionCaught") broken: Exception,
         ) {
-            CallEnd.Broken("${broken::class.simpleName} ${broken.message}")
+            Reply.Broken("${broken::class.simpleName} ${broken.message}")
         }
 
     private companion object {
@@ -198,8 +198,8 @@
     }
 }
 
-/** A version 7 UUID for the time [milliseconds] since the epoch. */
-fun keyIssuedAt(
+/** Returns a version 7 UUID (RFC 9562) for the time [milliseconds] since the epoch. */
+fun uuidV7At(
     milliseconds: Long,
     random: Random = Random.Default,
 ): String {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/Demo.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/Demo.kt
@@ -1,6 +1,6 @@
 /**
- * The demonstration: a whole site in one process, streaming requests and orders under way while a new version is rolled
- * out and a failure domain is taken out and brought back. It ends with one line of figures.
+ * Runs a whole site in one process and sends streaming requests and orders to it while a new version is rolled out and a
+ * failure domain is taken out of service and restored. Prints one line of figures at the end.
  */
 package lagoonrudder.standins
 
@@ -30,24 +30,24 @@
 fun main(arguments: Array<String>) {
     allowManyServers()
     val names = if (arguments.firstOrNull() == "tadla") tadla else festival
-    val verdict = runBlocking { Demo(names, site { build = { repeats = RepeatPolicy(clockSkew = 200.milliseconds) } }).run() }
+    val verdict = runBlocking { Demo(names, site { daemonOptions = { repeats = RepeatPolicy(clockSkew = 200.milliseconds) } }).run() }
     exitProcess(if (verdict) 0 else 1)
 }
 
-/** Counts of one kind of calls by their end. */
-class Ends {
-    val all = ConcurrentLinkedQueue<CallEnd>()
+/** The replies to calls of one kind. */
+class Replies {
+    val all = ConcurrentLinkedQueue<Reply>()
 
-    fun add(end: CallEnd) {
-        all += end
+    fun add(reply: Reply) {
+        all += reply
     }
 
-    inline fun <reified T : CallEnd> count(): Int = all.count { it is T }
+    inline fun <reified T : Reply> count(): Int = all.count { it is T }
 
-    val firstBytes: List<Duration> get() = all.filterIsInstance<CallEnd.Whole>().map { it.firstByte }
+    val timesToFirstByte: List<Duration> get() = all.filterIsInstance<Reply.Complete>().map { it.firstByte }
 }
 
-/** The value below which [share] of [values] lie; zero when there are none. */
+/** Returns the quantile [share] (0 to 1) of [values], or zero when there are none. */
 fun percentile(
     values: List<Duration>,
     share: Double,
@@ -59,65 +59,66 @@
 ) {
     private val clock = SystemClock()
     private val caller = Caller(site.http)
-    private val texts = Ends()
-    private val orders = Ends()
+    private val texts = Replies()
+    private val orders = Replies()
     private val sent = AtomicInteger()
     private val bodies = ConcurrentHashMap.newKeySet<String>()
 
-    /** Runs the demonstration and returns whether every promise held. */
+    /** Runs the demonstration and returns whether all guarantees held. */
     suspend fun run(): Boolean {
         val first = VersionId("${names.model}-1")
         val second = VersionId("${names.model}-2")
         val started = clock.elapsed()
-        say("starting a site of ${names.domains.size} failure domains")
+        printProgress("starting a site of ${names.domains.size} failure domains")
         site.start(sampleObjects(names))
         site.awaitVersion(first)
         site.awaitReady()
-        delay(SKEW_PAUSE)
+        delay(CLOCK_SKEW_WAIT)
         val ready = clock.elapsed() - started
-        say("every daemon is ready after $ready")
+        printProgress("every daemon is ready after $ready")
         var rollOut = Duration.ZERO
-        var lastWork = Duration.ZERO
+        var outTime = Duration.ZERO
         coroutineScope {
             val traffic = startTraffic()
             delay(PHASE)
             rollOut = rollOut(first, second)
-            lastWork = takeOutAndBack(sampleObjects(names, second.text, first.text))
+            outTime = evacuateAndRestore(sampleObjects(names, second.text, first.text))
             delay(PHASE)
             traffic.forEach { it.cancel() }
         }
-        return report(ready, rollOut, lastWork).also { site.close() }
+        return report(ready, rollOut, outTime).also { site.close() }
     }
 
     private fun CoroutineScope.startTraffic(): List<Job> =
-        List(TEXT_CALLERS) { number -> launch { callForText(number) } } + List(ORDER_CALLERS) { number -> launch { callForOrders(number) } }
+        List(TEXT_CALLERS) { number -> launch { sendTextRequests(number) } } +
+            List(ORDER_CALLERS) { number -> launch { sendOrders(number) } }
 
-    private suspend fun CoroutineScope.callForText(number: Int) {
+    private suspend fun CoroutineScope.sendTextRequests(number: Int) {
         val random = Random(number)
         while (isActive) {
             val route = if (number % 2 == 0) names.textRoute else names.lookupRoute
             val prompt = "Entry ${random.nextInt(PROMPTS)} of caller $number"
-            val call = TextCall("/v1/$route", "token-${names.customers.random(random)}", prompt, random.nextInt(MOST_TOKENS) + 1)
-            val end = caller.text(entryFor(random), call)
-            texts.add(end)
-            pauseAfter(end)
+            val call = TextCall("/v1/$route", "token-${names.customers.random(random)}", prompt, random.nextInt(MAX_TOKENS) + 1)
+            val reply = caller.text(pickEntry(random), call)
+            texts.add(reply)
+            backOffIfRejected(reply)
         }
     }
 
-    private suspend fun CoroutineScope.callForOrders(number: Int) {
+    private suspend fun CoroutineScope.sendOrders(number: Int) {
         val random = Random(number)
         while (isActive) {
             val body = "order-${sent.incrementAndGet()}"
-            val key = keyIssuedAt(System.currentTimeMillis(), random)
+            val key = uuidV7At(System.currentTimeMillis(), random)
             bodies += body
-            val end = caller.order(entryFor(random), "/v1/${names.ledger}", "token-${names.customers.random(random)}", key, body)
-            orders.add(end)
-            pauseAfter(end)
+            val reply = caller.order(pickEntry(random), "/v1/${names.ledger}", "token-${names.customers.random(random)}", key, body)
+            orders.add(reply)
+            backOffIfRejected(reply)
         }
     }
 
-    /** The platform's balancer: any entry daemon whose readiness is good. */
-    private suspend fun entryFor(random: Random) =
+    /** Picks a random ready entry daemon, as the platform's load balancer does. */
+    private suspend fun pickEntry(random: Random) =
         site.daemons.values
             .filter { it.addresses.callers != null && site.statusOf(it).contains("ready=true") }
             .sortedBy { it.settings.name.text }
@@ -125,44 +126,44 @@
             .addresses.callers
             .let(::checkNotNull)
 
-    private suspend fun pauseAfter(end: CallEnd) {
-        if (end is CallEnd.NotRun) delay(REFUSED_PAUSE)
+    private suspend fun backOffIfRejected(reply: Reply) {
+        if (reply is Reply.NotRun) delay(REJECTION_BACKOFF)
     }
 
     private suspend fun rollOut(
         first: VersionId,
         second: VersionId,
     ): Duration {
-        say("rolling out ${second.text} under traffic")
+        printProgress("rolling out ${second.text} under traffic")
         val started = clock.elapsed()
-        site.origin.bytesGiven.set(0)
+        site.origin.bytesServed.set(0)
         site.publish(sampleObjects(names, second.text, first.text))
         site.awaitVersion(second)
-        return (clock.elapsed() - started).also { say("every engine serves ${second.text} after $it") }
+        return (clock.elapsed() - started).also { printProgress("every engine serves ${second.text} after $it") }
     }
 
-    private suspend fun takeOutAndBack(objects: ObjectSet): Duration {
+    private suspend fun evacuateAndRestore(objects: ObjectSet): Duration {
         val domain = DomainId(names.domains.last())
-        say("taking failure domain ${domain.text} out of service")
-        val published = clock.elapsed()
-        site.publish(withService(objects, domain, Service.OUT))
-        delay(OUT_LIMIT)
-        val begunAtLimit = begunIn(domain)
-        delay(OUT_WATCH)
-        val newWork = begunIn(domain) - begunAtLimit
-        say("new work there after $OUT_LIMIT: $newWork")
-        check(newWork == 0L) { "new work in a failure domain that is out" }
-        say("bringing it back")
+        printProgress("taking failure domain ${domain.text} out of service")
+        val publishedAt = clock.elapsed()
+        site.publish(withAdminState(objects, domain, Service.OUT))
+        delay(EVACUATION_LIMIT)
+        val startedAtLimit = requestsStartedIn(domain)
+        delay(OBSERVATION_TIME)
+        val newRequests = requestsStartedIn(domain) - startedAtLimit
+        printProgress("requests started there later than $EVACUATION_LIMIT after publication: $newRequests")
+        check(newRequests == 0L) { "$newRequests requests started in failure domain ${domain.text}, expected 0" }
+        printProgress("restoring failure domain ${domain.text}")
         site.publish(objects)
-        return clock.elapsed() - published
+        return clock.elapsed() - publishedAt
     }
 
-    private fun begunIn(domain: DomainId): Long {
-        val objects = site.platform.published().objects
+    private fun requestsStartedIn(domain: DomainId): Long {
+        val objects = site.platform.currentSnapshot().objects
         return site.engines
             .filterKeys { objects.targets[it]?.domain == domain }
             .values
-            .sumOf { it.begun.get() }
+            .sumOf { it.requestsStarted.get() }
     }
 
     private fun report(
@@ -175,20 +176,20 @@
                 .flatMap { it.runs.entries }
                 .groupBy({ it.key }, { it.value })
                 .mapValues { it.value.sum() }
-        val double = runs.count { it.value > 1 }
-        val wrong = texts.count<CallEnd.Wrong>() + orders.count<CallEnd.Wrong>()
-        val broken = texts.count<CallEnd.Broken>() + orders.count<CallEnd.Broken>()
+        val doubleRuns = runs.count { it.value > 1 }
+        val wrong = texts.count<Reply.Wrong>() + orders.count<Reply.Wrong>()
+        val broken = texts.count<Reply.Broken>() + orders.count<Reply.Broken>()
         val copies =
-            site.origin.bytesGiven
+            site.origin.bytesServed
                 .get()
                 .toDouble() / sampleWeights("any").bytes
-        val holds = double == 0 && wrong == 0 && broken == 0 && site.violations.isEmpty() && texts.count<CallEnd.Whole>() > 0
+        val holds = doubleRuns == 0 && wrong == 0 && broken == 0 && site.violations.isEmpty() && texts.count<Reply.Complete>() > 0
         println(
-            "texts=${texts.all.size} whole=${texts.count<CallEnd.Whole>()} not-run=${texts.count<CallEnd.NotRun>()} " +
-                "unknown=${texts.count<CallEnd.Unknown>()} broken=$broken wrong=$wrong " +
-                "first-byte-p50=${percentile(texts.firstBytes, 0.5)} first-byte-p95=${percentile(texts.firstBytes, 0.95)} " +
-                "orders=${orders.all.size} orders-done=${orders.count<CallEnd.Whole>()} orders-not-run=${orders.count<CallEnd.NotRun>()} " +
-                "orders-unknown=${orders.count<CallEnd.Unknown>()} double-runs=$double ready=$ready roll-out=$rollOut " +
+            "texts=${texts.all.size} whole=${texts.count<Reply.Complete>()} not-run=${texts.count<Reply.NotRun>()} " +
+                "unknown=${texts.count<Reply.Unknown>()} broken=$broken wrong=$wrong " +
+                "first-byte-p50=${percentile(texts.timesToFirstByte, 0.5)} first-byte-p95=${percentile(texts.timesToFirstByte, 0.95)} " +
+                "orders=${orders.all.size} orders-done=${orders.count<Reply.Complete>()} orders-not-run=${orders.count<Reply.NotRun>()} " +
+                "orders-unknown=${orders.count<Reply.Unknown>()} double-runs=$doubleRuns ready=$ready roll-out=$rollOut " +
                 "origin-copies=${"%.2f".format(copies)} out-and-back=$outTime violations=${site.violations.size} " +
                 "verdict=${if (holds) "holds" else "broken"}",
         )
@@ -197,28 +198,32 @@
     }
 
     private fun showProblems() {
-        (texts.all + orders.all).filter { it is CallEnd.Broken || it is CallEnd.Wrong }.take(SHOWN).forEach { println("problem: $it") }
-        site.violations.take(SHOWN).forEach { println("violation: $it") }
+        (texts.all + orders.all)
+            .filter { it is Reply.Broken || it is Reply.Wrong }
+            .take(
+                MAX_PRINTED_PROBLEMS,
+            ).forEach { println("problem: $it") }
+        site.violations.take(MAX_PRINTED_PROBLEMS).forEach { println("violation: $it") }
     }
 
-    private fun say(line: String) = println("demo: $line")
+    private fun printProgress(line: String) = println("demo: $line")
 
     private companion object {
         const val TEXT_CALLERS = 12
         const val ORDER_CALLERS = 3
         const val PROMPTS = 20
-        const val MOST_TOKENS = 40
-        const val SHOWN = 10
-        val SKEW_PAUSE = 300.milliseconds
+        const val MAX_TOKENS = 40
+        const val MAX_PRINTED_PROBLEMS = 10
+        val CLOCK_SKEW_WAIT = 300.milliseconds
         val PHASE = 3.seconds
-        val OUT_LIMIT = 3.seconds
-        val OUT_WATCH = 2.seconds
-        val REFUSED_PAUSE = 100.milliseconds
+        val EVACUATION_LIMIT = 3.seconds
+        val OBSERVATION_TIME = 2.seconds
+        val REJECTION_BACKOFF = 100.milliseconds
     }
 }
 
-/** [objects] with the service of [domain] changed. */
-fun withService(
+/** Returns [objects] with the administrative state of [domain] set to [service]. */
+fun withAdminState(
     objects: ObjectSet,
     domain: DomainId,
     service: Service,
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/EngineLoad.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/EngineLoad.kt
@@ -1,5 +1,5 @@
 /**
- * How a stand-in engine behaves under load, over sockets and in virtual time alike.
+ * Models the load behavior of a fake engine, for engines on sockets and in virtual time.
  */
 package lagoonrudder.standins
 
@@ -9,21 +9,26 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** How an engine behaves. [coldRequests] is what it bears when fresh, [warmRequests] after [warmUp]. */
+/**
+ * The parameters of a fake engine.
+ *
+ * An engine runs [coldCapacity] requests at full speed when it starts and [warmCapacity] after [warmUp]. It crashes when its
+ * requests exceed its capacity by the factor [crashLoadFactor], or its tokens exceed [memoryTokens].
+ */
 data class EngineTraits(
-    val coldRequests: Int = 3,
-    val warmRequests: Int = 16,
+    val coldCapacity: Int = 3,
+    val warmCapacity: Int = 16,
     val warmUp: Duration = 5.seconds,
-    val firstToken: Duration = 40.milliseconds,
+    val firstTokenDelay: Duration = 40.milliseconds,
     val tokenInterval: Duration = 10.milliseconds,
-    val fallsOverAt: Double = 3.0,
+    val crashLoadFactor: Double = 3.0,
     val memoryTokens: Long = 100_000,
     val downTime: Duration = 2.seconds,
     val loadTime: Duration = 300.milliseconds,
     val checksFencing: Boolean = true,
 )
 
-/** Counts what an engine holds and says how slow that makes it. */
+/** Counts the requests and tokens in an engine and computes the resulting slowdown. */
 class EngineLoad(
     private val traits: EngineTraits,
 ) {
@@ -32,29 +37,29 @@
 
     fun requests(): Int = requests.get()
 
-    /** Takes a request in; false when the engine falls over under it. [age] is the time since the engine started. */
-    fun enter(
+    /** Adds a request and returns false when the engine crashes under the load. [age] is the time since the engine started. */
+    fun admit(
         tokens: Long,
         age: Duration,
     ): Boolean {
         val now = requests.incrementAndGet()
         val held = this.tokens.addAndGet(tokens)
-        return now <= bears(age) * traits.fallsOverAt && held <= traits.memoryTokens
+        return now <= capacity(age) * traits.crashLoadFactor && held <= traits.memoryTokens
     }
 
-    fun leave(tokens: Long) {
+    fun release(tokens: Long) {
         requests.decrementAndGet()
         this.tokens.addAndGet(-tokens)
     }
 
-    /** How many times slower than alone a request runs now. */
-    fun slowness(age: Duration): Double {
-        val load = requests.get() / bears(age)
+    /** Returns the factor by which a request runs slower now than on an idle engine. */
+    fun slowdown(age: Duration): Double {
+        val load = requests.get() / capacity(age)
         return if (load <= 1.0) 1.0 else load * load
     }
 
-    private fun bears(age: Duration): Double {
-        val warmth = (age / traits.warmUp).coerceIn(0.0, 1.0)
-        return traits.coldRequests + (traits.warmRequests - traits.coldRequests) * warmth
+    private fun capacity(age: Duration): Double {
+        val warmUpFraction = (age / traits.warmUp).coerceIn(0.0, 1.0)
+        return traits.coldCapacity + (traits.warmCapacity - traits.coldCapacity) * warmUpFraction
     }
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/EngineStandIn.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/FakeEngine.kt
@@ -1,9 +1,9 @@
 /**
- * Stands for a model engine: it batches continuously, slows down under load, warms up after each start, and falls over
- * when it gets far more than it bears.
+ * A fake model engine with continuous batching: it slows down under load, warms up after each start, and crashes when the
+ * load far exceeds its capacity.
  *
- * Its answers depend on the weights that it really holds, so that anyone who knows the version can check them; an engine
- * that was ordered to load an incomplete version answers something else.
+ * Its output depends on the weights that it holds, so that a caller that knows the version can verify it. An engine that
+ * was ordered to load an incomplete version generates different text.
  */
 package lagoonrudder.standins
 
@@ -38,11 +38,11 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-class EngineStandIn(
+class FakeEngine(
     private val traits: EngineTraits = EngineTraits(),
     private val clock: Clock = SystemClock(),
 ) : AutoCloseable {
-    private val server = HttpStandIn { handle(it) }
+    private val server = LoopbackHttpServer { handle(it) }
     private val chunks = HashMap<String, MutableSet<Int>>()
 
     @Volatile
@@ -68,25 +68,25 @@
 
     val address: Address get() = server.address
 
-    /** The answers that were begun, ended and cancelled, and how often the engine fell over. */
-    val begun = AtomicLong()
-    val ended = AtomicLong()
-    val cancelled = AtomicLong()
-    val falls = AtomicInteger()
-    val mostInFlight = AtomicInteger()
+    /** The number of responses that were started, completed and cancelled, and the number of crashes. */
+    val requestsStarted = AtomicLong()
+    val requestsCompleted = AtomicLong()
+    val requestsCancelled = AtomicLong()
+    val crashes = AtomicInteger()
+    val maxInFlight = AtomicInteger()
 
-    /** Version loads that were carried out, in order. */
-    val loads = Collections.synchronizedList(mutableListOf<String>())
+    /** The versions that were loaded, in order. */
+    val loadedVersions = Collections.synchronizedList(mutableListOf<String>())
 
-    /** Whether answers stop in the middle and stay silent. */
+    /** Whether responses stop in the middle while their connections stay open. */
     @Volatile
-    var silent = false
+    var stalled = false
 
-    /** Whether the next load is refused as a version that can't run. */
+    /** The version whose load orders are rejected with status 422. */
     @Volatile
-    var refusesVersion: String? = null
+    var rejectedVersion: String? = null
 
-    /** Loses everything and comes back after [downTime] as a new incarnation. */
+    /** Discards all state and comes back after [downTime] as a new incarnation. */
     @Synchronized
     fun restart(downTime: Duration = traits.downTime) {
         incarnation = newIncarnation()
@@ -104,14 +104,14 @@
 
     private suspend fun handle(call: ApplicationCall) {
         if (clock.elapsed() < downUntil) return call.respondText("down", status = HttpStatusCode.ServiceUnavailable)
-        val words =
+        val segments =
             call.request
                 .path()
                 .split('/')
                 .filter { it.isNotEmpty() }
-        when (words.firstOrNull()) {
+        when (segments.firstOrNull()) {
             "state" -> call.respondText(engineJson.encodeToString(StateJson.serializer(), state()), ContentType.Application.Json)
-            "weights" -> takeChunk(call, words[1], words[2].toInt())
+            "weights" -> storeChunk(call, segments[1], segments[2].toInt())
             "orders" -> order(call, engineJson.decodeFromString(OrderJson.serializer(), call.body().decodeToString()))
             "generate" -> generate(call, engineJson.decodeFromString(GenerateJson.serializer(), call.body().decodeToString()))
             else -> call.respondText("", status = HttpStatusCode.NotFound)
@@ -121,7 +121,7 @@
     @Synchronized
     private fun state() = StateJson(incarnation, version, role, fencing.takeIf { traits.checksFencing }, loading)
 
-    private suspend fun takeChunk(
+    private suspend fun storeChunk(
         call: ApplicationCall,
         version: String,
         chunk: Int,
@@ -136,16 +136,16 @@
         call: ApplicationCall,
         order: OrderJson,
     ) {
-        if (order.version.isNotEmpty() && order.version == refusesVersion) {
+        if (order.version.isNotEmpty() && order.version == rejectedVersion) {
             return call.respondText("version can't run", status = HttpStatusCode.UnprocessableEntity)
         }
-        if (!passes(order)) return call.respondText("", status = HttpStatusCode.Conflict)
+        if (!acceptFencing(order)) return call.respondText("", status = HttpStatusCode.Conflict)
         if (order.kind != "change-role") load(order)
         call.respondText("")
     }
 
     @Synchronized
-    private fun passes(order: OrderJson): Boolean {
+    private fun acceptFencing(order: OrderJson): Boolean {
         if (!traits.checksFencing) return true
         if (order.fencing <= fencing) return false
         fencing = order.fencing
@@ -153,17 +153,17 @@
     }
 
     private suspend fun load(order: OrderJson) {
-        val own = incarnation
+        val startIncarnation = incarnation
         loading = true
         delay(traits.loadTime)
         synchronized(this) {
-            if (own != incarnation) return
-            val held = chunks[order.version].orEmpty()
-            partial = held.size != order.chunks
+            if (startIncarnation != incarnation) return
+            val heldChunks = chunks[order.version].orEmpty()
+            partial = heldChunks.size != order.chunks
             version = order.version
             chunks.keys.retainAll(setOf(order.version))
             loading = false
-            loads += order.version
+            loadedVersions += order.version
         }
     }
 
@@ -171,63 +171,63 @@
         call: ApplicationCall,
         request: GenerateJson,
     ) {
-        val served = version
-        val tokens = request.maximumTokens + request.prompt.length / TOKEN_CHARACTERS.toLong()
-        if (served == null || loading) return call.respondText("", status = HttpStatusCode.ServiceUnavailable)
-        enter(tokens)
-        val own = incarnation
-        begun.incrementAndGet()
+        val servedVersion = version
+        val tokens = request.maximumTokens + request.prompt.length / TOKEN_LENGTH.toLong()
+        if (servedVersion == null || loading) return call.respondText("", status = HttpStatusCode.ServiceUnavailable)
+        admit(tokens)
+        val startIncarnation = incarnation
+        requestsStarted.incrementAndGet()
         try {
-            call.respondBytesWriter(ContentType.Application.Json) { answer(request, served, own) }
-            ended.incrementAndGet()
-        } catch (gone: IOException) {
-            cancelled.incrementAndGet()
-            throw gone
+            call.respondBytesWriter(ContentType.Application.Json) { writeResponse(request, servedVersion, startIncarnation) }
+            requestsCompleted.incrementAndGet()
+        } catch (disconnected: IOException) {
+            requestsCancelled.incrementAndGet()
+            throw disconnected
         } finally {
-            load.leave(tokens)
+            load.release(tokens)
         }
     }
 
-    private fun enter(tokens: Long) {
-        val stands = load.enter(tokens, clock.elapsed() - startedAt)
-        mostInFlight.accumulateAndGet(load.requests(), ::maxOf)
-        if (stands) return
-        falls.incrementAndGet()
+    private fun admit(tokens: Long) {
+        val survives = load.admit(tokens, clock.elapsed() - startedAt)
+        maxInFlight.accumulateAndGet(load.requests(), ::maxOf)
+        if (survives) return
+        crashes.incrementAndGet()
         restart()
     }
 
-    private suspend fun ByteWriteChannel.answer(
+    private suspend fun ByteWriteChannel.writeResponse(
         request: GenerateJson,
-        served: String,
-        own: String,
+        servedVersion: String,
+        startIncarnation: String,
     ) {
-        line(EngineLineJson(start = StartJson(own, served)))
-        delay(traits.firstToken * slowness() + (request.prompt.length / PREFILL_CHARACTERS).milliseconds)
-        val sum = CRC32C()
+        writeLine(EngineLineJson(start = StartJson(startIncarnation, servedVersion)))
+        delay(traits.firstTokenDelay * slowdown() + (request.prompt.length / PREFILL_CHARACTERS_PER_MILLISECOND).milliseconds)
+        val checksum = CRC32C()
         var offset = request.offset
-        val length = request.maximumTokens.toLong() * TOKEN_CHARACTERS
+        val length = request.maximumTokens.toLong() * TOKEN_LENGTH
         while (offset < length) {
-            while (silent) delay(SILENCE_CHECK)
-            if (own != incarnation) throw IOException("the engine fell over")
-            val text = textOf(served, request.prompt, offset, partial)
-            sum.update(text.encodeToByteArray())
-            line(EngineLineJson(text = TextJson(offset, text)))
+            while (stalled) delay(STALL_POLL_INTERVAL)
+            if (startIncarnation != incarnation) throw IOException("engine restarted during the response")
+            val text = tokenAt(servedVersion, request.prompt, offset, partial)
+            checksum.update(text.encodeToByteArray())
+            writeLine(EngineLineJson(text = TextJson(offset, text)))
             offset += text.length
-            delay(traits.tokenInterval * slowness())
+            delay(traits.tokenInterval * slowdown())
         }
-        line(EngineLineJson(end = EndJson(version ?: "", length, sum.value)))
+        writeLine(EngineLineJson(end = EndJson(version ?: "", length, checksum.value)))
     }
 
-    private suspend fun ByteWriteChannel.line(line: EngineLineJson) {
+    private suspend fun ByteWriteChannel.writeLine(line: EngineLineJson) {
         writeStringUtf8(engineJson.encodeToString(EngineLineJson.serializer(), line) + "\n")
         flush()
     }
 
-    private fun slowness(): Double = load.slowness(clock.elapsed() - startedAt)
+    private fun slowdown(): Double = load.slowdown(clock.elapsed() - startedAt)
 
     private companion object {
         const val INCARNATION_LENGTH = 8
-        const val PREFILL_CHARACTERS = 200
-        val SILENCE_CHECK = 50.milliseconds
+        const val PREFILL_CHARACTERS_PER_MILLISECOND = 200
+        val STALL_POLL_INTERVAL = 50.milliseconds
     }
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/OriginStandIn.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/FakeOrigin.kt
@@ -1,5 +1,5 @@
 /**
- * Stands for the origin of weights: manifests and chunks over HTTP, at a limited rate.
+ * A fake origin of weights that serves manifests and chunks over HTTP at a limited rate.
  */
 package lagoonrudder.standins
 
@@ -17,23 +17,23 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class OriginStandIn(
+class FakeOrigin(
     private val bytesPerSecond: Long,
 ) : AutoCloseable {
     private val versions = ConcurrentHashMap<String, SyntheticWeights>()
     private val link = Mutex()
-    private val server = HttpStandIn { handle(it) }
+    private val server = LoopbackHttpServer { handle(it) }
 
     val address: Address get() = server.address
 
-    /** The bytes of chunks given out. */
-    val bytesGiven = AtomicLong()
+    /** The number of chunk bytes served. */
+    val bytesServed = AtomicLong()
 
-    /** Whether every answer waits for ever. */
+    /** Whether all responses are held back. */
     @Volatile
     var stalled = false
 
-    /** Every chunk with a number that this divides arrives corrupted; zero for none. */
+    /** Corrupts each chunk whose index is a multiple of this; zero corrupts none. */
     @Volatile
     var corruptEvery = 0
 
@@ -47,20 +47,20 @@
     override fun close() = server.close()
 
     private suspend fun handle(call: ApplicationCall) {
-        while (stalled) delay(STALL_CHECK)
-        val words =
+        while (stalled) delay(STALL_POLL_INTERVAL)
+        val segments =
             call.request
                 .path()
                 .split('/')
                 .filter { it.isNotEmpty() }
-        when (words.getOrNull(1)) {
-            "manifests" -> giveManifest(call, words[2])
-            "versions" -> giveChunk(call, words[2], words[4].toInt())
+        when (segments.getOrNull(1)) {
+            "manifests" -> sendManifest(call, segments[2])
+            "versions" -> sendChunk(call, segments[2], segments[4].toInt())
             else -> call.respondText("", status = HttpStatusCode.NotFound)
         }
     }
 
-    private suspend fun giveManifest(
+    private suspend fun sendManifest(
         call: ApplicationCall,
         digest: String,
     ) {
@@ -68,7 +68,7 @@
         if (weights == null) call.respondText("", status = HttpStatusCode.NotFound) else call.respondBytes(weights.manifest)
     }
 
-    private suspend fun giveChunk(
+    private suspend fun sendChunk(
         call: ApplicationCall,
         version: String,
         chunk: Int,
@@ -76,13 +76,13 @@
         val weights = versions[version] ?: return call.respondText("", status = HttpStatusCode.NotFound)
         val bytes = weights.chunk(chunk)
         link.withLock { delay((bytes.size.toDouble() / bytesPerSecond).seconds) }
-        bytesGiven.addAndGet(bytes.size.toLong())
+        bytesServed.addAndGet(bytes.size.toLong())
         val corrupt = corruptEvery > 0 && chunk % corruptEvery == 0
         if (corrupt) bytes[0] = (bytes[0] + 1).toByte()
         call.respondBytes(bytes)
     }
 
     private companion object {
-        val STALL_CHECK = 100.milliseconds
+        val STALL_POLL_INTERVAL = 100.milliseconds
     }
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/PlainServiceStandIn.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/FakePlainService.kt
@@ -1,5 +1,5 @@
 /**
- * Stands for a plain service whose calls may not be repeated: it counts how often each order ran.
+ * A fake plain service whose calls must not be retried. It counts how often each order ran.
  */
 package lagoonrudder.standins
 
@@ -16,15 +16,15 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-class PlainServiceStandIn(
-    private val time: Duration = 10.milliseconds,
+class FakePlainService(
+    private val processingTime: Duration = 10.milliseconds,
 ) : AutoCloseable {
-    private val server = HttpStandIn { handle(it) }
+    private val server = LoopbackHttpServer { handle(it) }
     private val incarnation = UUID.randomUUID().toString()
 
     val address: Address get() = server.address
 
-    /** How often each body ran. */
+    /** The number of times that each request body was processed. */
     val runs = ConcurrentHashMap<String, Int>()
 
     override fun close() = server.close()
@@ -35,7 +35,7 @@
         }
         val body = call.body().decodeToString()
         runs.merge(body, 1, Int::plus)
-        delay(time)
+        delay(processingTime)
         call.respondText("{\"done\":\"$body\"}", ContentType.Application.Json)
     }
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/PlatformStandIn.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/FakePlatform.kt
@@ -1,6 +1,6 @@
 /**
- * Stands for the platform's configuration service and its list of instances: values with generations that can be read and
- * watched. It counts each call, a waiting watch as one.
+ * A fake of the platform's configuration service and instance list: values with generations that can be read and watched.
+ * It counts each call; a watch counts as one call however long it waits.
  */
 package lagoonrudder.standins
 
@@ -26,7 +26,7 @@
 import java.util.concurrent.atomic.AtomicLong
 import kotlin.time.Duration.Companion.milliseconds
 
-class PlatformStandIn(
+class FakePlatform(
     port: Int = 0,
 ) : AutoCloseable {
     private class Value(
@@ -36,50 +36,52 @@
 
     private val values = ConcurrentHashMap<String, MutableStateFlow<Value>>()
     private val instances = LinkedHashMap<DaemonId, Instance>()
-    private val server = HttpStandIn(port) { handle(it) }
+    private val server = LoopbackHttpServer(port) { handle(it) }
     private var sealed = SealedSet.EMPTY
 
     val address: Address get() = server.address
 
-    /** The calls since the start. */
+    /** The number of calls since the start. */
     val calls = AtomicLong()
 
-    /** Whether every call is refused. */
+    /** Whether all calls are rejected with status 503. */
     @Volatile
-    var down = false
+    var unavailable = false
 
-    /** Seals [set] after the set published last and publishes it. */
+    /** Seals [set] as the successor of the last published set and publishes it. */
     @Synchronized
     fun publish(set: SealedSet) {
-        val document = seal(set, sealed, "published").getOrNull() ?: error("revision ${set.revision.number} can't be sealed")
+        val document =
+            seal(set, sealed, "published").getOrNull()
+                ?: error("can't seal revision ${set.revision.number} after revision ${sealed.revision.number}")
         sealed = set
         publish(document)
     }
 
-    /** Publishes a document as it is. */
+    /** Publishes [document] unchanged. */
     fun publish(document: SealedDocument) {
         document.parts.forEach { put(partKey(it.digest), it.text) }
         put(HEAD_KEY, document.head)
     }
 
-    /** The set published last. */
+    /** The last published set. */
     @Synchronized
-    fun published(): SealedSet = sealed
+    fun currentSnapshot(): SealedSet = sealed
 
     @Synchronized
-    fun list(instance: Instance) {
+    fun addInstance(instance: Instance) {
         instances[instance.daemon] = instance
-        put(INSTANCES, writeInstances(instances.values))
+        put(INSTANCES_KEY, writeInstances(instances.values))
     }
 
     @Synchronized
-    fun unlist(daemon: DaemonId) {
+    fun removeInstance(daemon: DaemonId) {
         instances.remove(daemon)
-        put(INSTANCES, writeInstances(instances.values))
+        put(INSTANCES_KEY, writeInstances(instances.values))
     }
 
     @Synchronized
-    fun listed(): List<Instance> = instances.values.toList()
+    fun listedInstances(): List<Instance> = instances.values.toList()
 
     override fun close() = server.close()
 
@@ -95,20 +97,20 @@
 
     private suspend fun handle(call: ApplicationCall) {
         calls.incrementAndGet()
-        if (down) return call.respondText("", status = HttpStatusCode.ServiceUnavailable)
-        val words =
+        if (unavailable) return call.respondText("", status = HttpStatusCode.ServiceUnavailable)
+        val segments =
             call.request
                 .path()
                 .split('/')
                 .filter { it.isNotEmpty() }
-        when (words.getOrNull(1)) {
-            "values" -> give(call, words[2])
-            "instances" -> give(call, INSTANCES)
+        when (segments.getOrNull(1)) {
+            "values" -> sendValue(call, segments[2])
+            "instances" -> sendValue(call, INSTANCES_KEY)
             else -> call.respondText("", status = HttpStatusCode.NotFound)
         }
     }
 
-    private suspend fun give(
+    private suspend fun sendValue(
         call: ApplicationCall,
         key: String,
     ) {
@@ -120,12 +122,12 @@
         if (value == null) return call.respondText("", status = HttpStatusCode.NoContent)
         if (value.generation == 0L) return call.respondText("", status = HttpStatusCode.NotFound)
         call.response.header("Generation", value.generation.toString())
-        delay(READ_TIME)
+        delay(RESPONSE_DELAY)
         call.respondText(value.text)
     }
 
     private companion object {
-        const val INSTANCES = "instances"
-        val READ_TIME = 2.milliseconds
+        const val INSTANCES_KEY = "instances"
+        val RESPONSE_DELAY = 2.milliseconds
     }
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/FaultProxy.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/FaultProxy.kt
@@ -1,6 +1,6 @@
 /**
- * A TCP proxy that injects faults between two ends: delay, cut, one-way cut, silence, corruption, and a close after a
- * given number of bytes.
+ * A TCP proxy that injects faults between a client and a server: delay, disconnection, loss in one direction, stalls, and a
+ * close after a given number of bytes.
  */
 package lagoonrudder.standins
 
@@ -21,7 +21,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** What happens to bytes that cross the proxy. */
+/** A fault that the proxy applies to the bytes it forwards. */
 sealed class Fault {
     data object None : Fault()
 
@@ -29,25 +29,25 @@
         val time: Duration,
     ) : Fault()
 
-    /** Connections are refused and those that are open are closed. */
-    data object Cut : Fault()
+    /** Closes open connections, and new ones as soon as they are accepted. */
+    data object Disconnect : Fault()
 
-    /** Connections stay open and new ones are taken, but nothing crosses. */
-    data object Silence : Fault()
+    /** Keeps connections open and accepts new ones, but forwards nothing. */
+    data object Stall : Fault()
 
-    /** Only those connections that are open now fall silent; new ones work. */
-    data object SilentOld : Fault()
+    /** Stalls only the connections that are open at the time of injection; new ones work. */
+    data object StallExisting : Fault()
 
-    /** Bytes to the server vanish; bytes back cross. */
-    data object OneWay : Fault()
+    /** Drops bytes to the server and forwards those to the caller. */
+    data object DropToServer : Fault()
 
-    /** Each connection is closed after [bytes] towards the server. */
-    data class CloseAfter(
+    /** Closes each connection after [bytes] to the server. */
+    data class CloseAfterToServer(
         val bytes: Long,
     ) : Fault()
 
-    /** Each connection is closed after [bytes] towards the caller. */
-    data class CloseAnswerAfter(
+    /** Closes each connection after [bytes] to the caller. */
+    data class CloseAfterToCaller(
         val bytes: Long,
     ) : Fault()
 }
@@ -57,28 +57,28 @@
 ) : AutoCloseable {
     private val listener = ServerSocket(0, BACKLOG, InetAddress.getByName(LOOPBACK))
     private val scope = CoroutineScope(SupervisorJob() + Dispatchers.IO)
-    private val open = ConcurrentHashMap.newKeySet<Pipe>()
+    private val open = ConcurrentHashMap.newKeySet<ProxiedConnection>()
 
     @Volatile
     private var fault: Fault = Fault.None
 
     val address = Address(LOOPBACK, listener.localPort)
 
-    /** The bytes that crossed in both directions. */
+    /** The number of bytes forwarded, both directions together. */
     val bytes = AtomicLong()
 
     init {
         scope.launch { accept() }
     }
 
-    /** Injects [next] from now on; it replaces the fault before. */
+    /** Applies [next] from now on, in place of the previous fault. */
     fun inject(next: Fault) {
         fault = next
         when (next) {
-            Fault.Cut -> open.forEach { it.close() }
-            Fault.SilentOld -> open.forEach { it.silent = true }
-            Fault.None, is Fault.Delay, Fault.Silence, Fault.OneWay -> Unit
-            is Fault.CloseAfter, is Fault.CloseAnswerAfter -> Unit
+            Fault.Disconnect -> open.forEach { it.close() }
+            Fault.StallExisting -> open.forEach { it.stalled = true }
+            Fault.None, is Fault.Delay, Fault.Stall, Fault.DropToServer -> Unit
+            is Fault.CloseAfterToServer, is Fault.CloseAfterToCaller -> Unit
         }
     }
 
@@ -101,87 +101,87 @@
     }
 
     private fun connect(caller: Socket) {
-        if (fault is Fault.Cut) return caller.close()
+        if (fault is Fault.Disconnect) return caller.close()
         val target = server()
-        val back =
+        val upstream =
             try {
                 Socket(target.host, target.port)
             } catch (_: IOException) {
                 return caller.close()
             }
-        val pipe = Pipe(caller, back)
-        open += pipe
-        scope.launch { pipe.pump(caller, back, towardsServer = true) }
-        scope.launch { pipe.pump(back, caller, towardsServer = false) }
+        val connection = ProxiedConnection(caller, upstream)
+        open += connection
+        scope.launch { connection.pump(caller, upstream, toServer = true) }
+        scope.launch { connection.pump(upstream, caller, toServer = false) }
     }
 
-    private inner class Pipe(
+    private inner class ProxiedConnection(
         private val caller: Socket,
-        private val back: Socket,
+        private val upstream: Socket,
     ) {
         @Volatile
-        var silent = false
+        var stalled = false
 
         suspend fun pump(
             from: Socket,
             to: Socket,
-            towardsServer: Boolean,
+            toServer: Boolean,
         ) {
             val buffer = ByteArray(BUFFER_BYTES)
-            var crossed = 0L
+            var forwarded = 0L
             try {
                 while (true) {
                     val count = runInterruptible { from.getInputStream().read(buffer) }
                     if (count < 0) break
-                    val allowed = allowed(crossed, count, towardsServer)
-                    if (pass(towardsServer)) to.getOutputStream().write(buffer, 0, allowed)
-                    crossed += allowed
+                    val allowed = withinLimit(forwarded, count, toServer)
+                    if (applyFault(toServer)) to.getOutputStream().write(buffer, 0, allowed)
+                    forwarded += allowed
                     bytes.addAndGet(allowed.toLong())
                     if (allowed < count) break
                 }
             } catch (_: IOException) {
-                // Either end closed: both are closed below.
+                // Either side closed its connection: both are closed below.
             } finally {
                 close()
             }
         }
 
-        /** Waits as the fault says; false when the bytes vanish. */
-        private suspend fun pass(towardsServer: Boolean): Boolean {
-            while (silent || fault is Fault.Silence) delay(SILENCE_CHECK)
-            when (val now = fault) {
-                is Fault.Delay -> delay(now.time)
-                Fault.OneWay -> return !towardsServer
-                Fault.None, Fault.Cut, Fault.Silence, Fault.SilentOld -> Unit
-                is Fault.CloseAfter, is Fault.CloseAnswerAfter -> Unit
+        /** Waits as the current fault requires and returns whether the bytes are forwarded. */
+        private suspend fun applyFault(toServer: Boolean): Boolean {
+            while (stalled || fault is Fault.Stall) delay(STALL_POLL_INTERVAL)
+            when (val current = fault) {
+                is Fault.Delay -> delay(current.time)
+                Fault.DropToServer -> return !toServer
+                Fault.None, Fault.Disconnect, Fault.Stall, Fault.StallExisting -> Unit
+                is Fault.CloseAfterToServer, is Fault.CloseAfterToCaller -> Unit
             }
             return true
         }
 
-        private fun allowed(
-            crossed: Long,
+        private fun withinLimit(
+            forwarded: Long,
             count: Int,
-            towardsServer: Boolean,
+            toServer: Boolean,
         ): Int {
             val limit =
-                when (val now = fault) {
-                    is Fault.CloseAfter -> if (towardsServer) now.bytes else Long.MAX_VALUE
-                    is Fault.CloseAnswerAfter -> if (towardsServer) Long.MAX_VALUE else now.bytes
-                    Fault.None, is Fault.Delay, Fault.Cut, Fault.Silence, Fault.SilentOld, Fault.OneWay -> Long.MAX_VALUE
+                when (val current = fault) {
+                    is Fault.CloseAfterToServer -> if (toServer) current.bytes else Long.MAX_VALUE
+                    is Fault.CloseAfterToCaller -> if (toServer) Long.MAX_VALUE else current.bytes
+                    Fault.None, is Fault.Delay, Fault.Disconnect, Fault.Stall, Fault.StallExisting, Fault.DropToServer -> Long.MAX_VALUE
                 }
-            return (limit - crossed).coerceIn(0, count.toLong()).toInt()
+            return (limit - forwarded).coerceIn(0, count.toLong()).toInt()
         }
 
         fun close() {
             open -= this
             caller.close()
-            back.close()
+            upstream.close()
         }
     }
 
     private companion object {
         const val BACKLOG = 200
         const val BUFFER_BYTES = 16_384
-        val SILENCE_CHECK = 20.milliseconds
+        val STALL_POLL_INTERVAL = 20.milliseconds
     }
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/HttpStandIn.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/LoopbackHttpServer.kt
@@ -1,5 +1,5 @@
 /**
- * A small HTTP server on a free port of loopback, the base of every stand-in.
+ * A small HTTP server on the loopback interface, the base of the fakes. Port 0 selects a free port.
  */
 package lagoonrudder.standins
 
@@ -15,9 +15,9 @@
 import lagoonrudder.model.Address
 
 const val LOOPBACK = "127.0.0.1"
-private const val GRACE_MILLISECONDS = 50L
+private const val SHUTDOWN_GRACE_MS = 50L
 
-class HttpStandIn(
+class LoopbackHttpServer(
     port: Int = 0,
     handle: suspend (ApplicationCall) -> Unit,
 ) : AutoCloseable {
@@ -37,9 +37,9 @@
         }
 
     override fun close() {
-        server.stop(GRACE_MILLISECONDS, GRACE_MILLISECONDS)
+        server.stop(SHUTDOWN_GRACE_MS, SHUTDOWN_GRACE_MS)
     }
 }
 
-/** The whole body of a call. */
+/** Reads the complete request body. */
 suspend fun ApplicationCall.body(): ByteArray = receiveChannel().readRemaining().readByteArray()
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/Samples.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/Samples.kt
@@ -1,6 +1,6 @@
 /**
- * The two sample deployments: three failure domains in three regions each, eight model workers, three entry or ledger
- * applications, one jury office or partner portal, ten customers.
+ * The two sample deployments, each with three failure domains in three regions, eight model workers, three instances of an
+ * entry application or ledger, one jury office or partner portal, and ten customers.
  */
 package lagoonrudder.standins
 
@@ -9,7 +9,7 @@
 import lagoonrudder.model.objectSet
 import kotlin.time.Duration.Companion.seconds
 
-/** The names of a sample. The first domain holds the origin. */
+/** The names in a sample deployment. The origin is in the first failure domain. */
 data class SampleNames(
     val domains: List<String>,
     val model: String,
@@ -27,7 +27,7 @@
 private const val LARGE_CUSTOMERS = 2
 private const val LARGE_WEIGHT = 3
 
-/** Synthetic weights of a sample's version. */
+/** Returns the synthetic weights of [version]. */
 fun sampleWeights(version: String) = SyntheticWeights(version, WEIGHT_BYTES, CHUNK_BYTES)
 
 /** Festival Entry Assistant Routing Fleet Tender. */
@@ -78,14 +78,14 @@
             ),
     )
 
-/** The objects of a sample with [version] in place of [replaces]. */
+/** Returns the objects of a sample deployment in which [version] replaces [replaces]. */
 fun sampleObjects(
     names: SampleNames,
     version: String = "${names.model}-1",
     replaces: String? = null,
 ): ObjectSet =
     objectSet {
-        places(names)
+        regionsAndDomains(names)
         names.customers.forEachIndexed { index, name -> customer(name, weight = if (index < LARGE_CUSTOMERS) LARGE_WEIGHT else 1) }
         model(names.model)
         listOfNotNull(replaces, version).forEach { weights(it, names.model) }
@@ -96,7 +96,7 @@
         routes(names)
     }
 
-private fun ObjectSetBuilder.places(names: SampleNames) {
+private fun ObjectSetBuilder.regionsAndDomains(names: SampleNames) {
     names.domains.forEachIndexed { index, name ->
         region(name, origin = index == 0)
         domain(name)
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/Site.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/Site.kt
@@ -1,5 +1,5 @@
 /**
- * A whole site in one process on loopback: stand-ins of the platform, entry daemons and target daemons.
+ * A site in one process on the loopback interface: a fake platform and origin, entry daemons, target daemons and back ends.
  */
 package lagoonrudder.standins
 
@@ -36,16 +36,16 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** How a site is built. */
+/** The options of a site. */
 class SiteOptions {
-    var entriesEach: Int = 2
+    var entriesPerDomain: Int = 2
     var originBytesPerSecond: Long = 20_000_000
     var engine: EngineTraits = EngineTraits()
-    var build: DaemonOptions.() -> Unit = {}
+    var daemonOptions: DaemonOptions.() -> Unit = {}
 }
 
 /** A running daemon of a site. */
-class Placed(
+class RunningDaemon(
     val daemon: Daemon,
     val addresses: DaemonAddresses,
     val settings: DaemonSettings,
@@ -55,92 +55,92 @@
     private val options: SiteOptions,
 ) : AutoCloseable {
     val http: HttpClient = httpClient()
-    val platform = PlatformStandIn()
-    val origin = OriginStandIn(options.originBytesPerSecond)
-    val engines = ConcurrentHashMap<TargetId, EngineStandIn>()
-    val services = ConcurrentHashMap<TargetId, PlainServiceStandIn>()
-    val daemons = ConcurrentHashMap<DaemonId, Placed>()
+    val platform = FakePlatform()
+    val origin = FakeOrigin(options.originBytesPerSecond)
+    val engines = ConcurrentHashMap<TargetId, FakeEngine>()
+    val services = ConcurrentHashMap<TargetId, FakePlainService>()
+    val daemons = ConcurrentHashMap<DaemonId, RunningDaemon>()
     val violations = ConcurrentLinkedQueue<Violation>()
 
     /** Publishes [objects] as the next revision. */
     fun publish(objects: ObjectSet): Revision {
         objects.versions.values.forEach { origin.publish(it.id.text, SyntheticWeights(it.id.text, it.bytes, it.chunkBytes)) }
-        val revision = Revision(platform.published().revision.number + 1)
+        val revision = Revision(platform.currentSnapshot().revision.number + 1)
         platform.publish(SealedSet(revision, objects))
         return revision
     }
 
-    /** Starts the entry daemons of every failure domain and a target daemon with its back end for every target. */
+    /** Starts the entry daemons of each failure domain, and a target daemon with its back end for each target. */
     suspend fun start(objects: ObjectSet) {
         publish(objects)
         for (target in objects.targets.values) startTarget(target, objects)
-        for (domain in objects.domains.keys) repeat(options.entriesEach) { startEntry(domain, it + 1) }
+        for (domain in objects.domains.keys) repeat(options.entriesPerDomain) { startEntry(domain, it + 1) }
     }
 
     suspend fun startEntry(
         domain: DomainId,
         number: Int,
-    ): Placed = start(settings(DaemonId("${domain.text}-entry-$number"), DaemonRole.ENTRY, domain, null))
+    ): RunningDaemon = start(settings(DaemonId("${domain.text}-entry-$number"), DaemonRole.ENTRY, domain, null))
 
     suspend fun startTarget(
         target: OperatorObject.Target,
         objects: ObjectSet,
-    ): Placed {
+    ): RunningDaemon {
         val slot = SlotSettings(target.id, backEndOf(target, objects))
         return start(settings(DaemonId("${target.id.text}-daemon"), DaemonRole.TARGET, target.domain, slot))
     }
 
-    /** Starts a daemon with [settings] and lists it. */
-    suspend fun start(settings: DaemonSettings): Placed {
+    /** Starts a daemon with [settings] and adds it to the instance list. */
+    suspend fun start(settings: DaemonSettings): RunningDaemon {
         val client = http
         val daemon =
             daemon(settings) {
                 http = client
                 onViolation = { violations += it }
-                options.build(this)
+                options.daemonOptions(this)
             }
         val addresses = daemon.start()
-        val placed = Placed(daemon, addresses, settings)
-        daemons[settings.name] = placed
-        platform.list(Instance(settings.name, settings.role, settings.domain, settings.slot?.target, addresses.rpc, false))
-        return placed
+        val running = RunningDaemon(daemon, addresses, settings)
+        daemons[settings.name] = running
+        platform.addInstance(Instance(settings.name, settings.role, settings.domain, settings.slot?.target, addresses.rpc, false))
+        return running
     }
 
-    /** Ends a daemon without notice; the platform's list still holds it. */
+    /** Stops a daemon without a graceful shutdown; it stays in the platform's instance list. */
     fun kill(daemon: DaemonId) {
         daemons.remove(daemon)?.daemon?.close()
     }
 
-    /** The addresses at which callers reach the entry daemons, of [domain] or of all. */
+    /** Returns the caller addresses of the entry daemons in [domain], or of all entry daemons. */
     fun entries(domain: DomainId? = null): List<Address> =
         daemons.values
             .filter { it.settings.role == DaemonRole.ENTRY && (domain == null || it.settings.domain == domain) }
             .sortedBy { it.settings.name.text }
             .mapNotNull { it.addresses.callers }
 
-    /** Waits until every daemon has [revision] in force. */
+    /** Waits until [revision] or a later one is active in each daemon. */
     suspend fun awaitRevision(
         revision: Revision,
-        limit: Duration = HANG_GUARD,
+        limit: Duration = MAX_WAIT,
     ) = await(limit) { daemons.values.all { it.daemon.core.configuration.current.revision >= revision } }
 
-    /** Waits until every engine serves [version] and reports it. */
+    /** Waits until each engine serves [version] and its daemon reports so. */
     suspend fun awaitVersion(
         version: VersionId,
-        limit: Duration = HANG_GUARD,
+        limit: Duration = MAX_WAIT,
     ) = await(limit) {
-        val targets = daemons.values.filter { placed -> placed.settings.slot?.let { it.target in engines.keys } == true }
+        val targets = daemons.values.filter { running -> running.settings.slot?.let { it.target in engines.keys } == true }
         targets.isNotEmpty() && targets.all { statusOf(it).contains("version=${version.text} switch=serving") }
     }
 
-    /** Waits until every daemon takes work. */
-    suspend fun awaitReady(limit: Duration = HANG_GUARD) = await(limit) { daemons.values.all { statusOf(it).contains("ready=true") } }
+    /** Waits until each daemon is ready for requests. */
+    suspend fun awaitReady(limit: Duration = MAX_WAIT) = await(limit) { daemons.values.all { statusOf(it).contains("ready=true") } }
 
-    /** The status line of a daemon. */
-    suspend fun statusOf(placed: Placed): String {
-        val daemon = placed.daemon
-        val view = daemon as DaemonView
-        return daemon.core.thread.decide { view.status() }
+    /** Returns the status line of a daemon. */
+    suspend fun statusOf(running: RunningDaemon): String {
+        val daemon = running.daemon
+        val diagnostics = daemon as DaemonView
+        return daemon.core.thread.decide { diagnostics.status() }
     }
 
     override fun close() {
@@ -157,8 +157,8 @@
         objects: ObjectSet,
     ): Address =
         when (objects.fleets[target.fleet]?.kind) {
-            FleetKind.ENGINE -> engines.getOrPut(target.id) { EngineStandIn(options.engine) }.address
-            FleetKind.PLAIN, null -> services.getOrPut(target.id) { PlainServiceStandIn() }.address
+            FleetKind.ENGINE -> engines.getOrPut(target.id) { FakeEngine(options.engine) }.address
+            FleetKind.PLAIN, null -> services.getOrPut(target.id) { FakePlainService() }.address
         }
 
     private fun settings(
@@ -167,12 +167,12 @@
         domain: DomainId,
         slot: SlotSettings?,
     ): DaemonSettings {
-        val any = Address(LOOPBACK, 0)
+        val anyPort = Address(LOOPBACK, 0)
         return DaemonSettings(
             name = name,
             role = role,
             domain = domain,
-            listen = ListenSettings(any, any.takeIf { role == DaemonRole.ENTRY }, any),
+            listen = ListenSettings(anyPort, anyPort.takeIf { role == DaemonRole.ENTRY }, anyPort),
             platform = PlatformSettings(platform.address, origin.address),
             seeds = daemons.values.take(SEEDS).map { it.addresses.rpc },
             slot = slot,
@@ -182,28 +182,28 @@
 
     companion object {
         private const val SEEDS = 4
-        private val CHECK_INTERVAL = 50.milliseconds
+        private val POLL_INTERVAL = 50.milliseconds
 
-        /** Ends a wait that would last for ever; no assertion about speed. */
-        val HANG_GUARD = 60.seconds
+        /** Bounds waits that would never end; not an assertion about speed. */
+        val MAX_WAIT = 60.seconds
 
         suspend fun await(
-            limit: Duration = HANG_GUARD,
-            holds: suspend () -> Boolean,
-        ) = withTimeout(limit) { while (!holds()) delay(CHECK_INTERVAL) }
+            limit: Duration = MAX_WAIT,
+            condition: suspend () -> Boolean,
+        ) = withTimeout(limit) { while (!condition()) delay(POLL_INTERVAL) }
     }
 }
 
 private const val IO_PARALLELISM = "kotlinx.coroutines.io.parallelism"
-private const val MANY_THREADS = "2000"
+private const val MAX_IO_THREADS = "2000"
 
 /**
- * Lets many daemons live in one process: each HTTP server waits on a thread of its own for connections. Call it before
- * anything else uses coroutines.
+ * Raises the parallelism of the I/O dispatcher so that many daemons can run in one process: each HTTP server blocks a thread
+ * while it accepts connections. Must be called before the first use of coroutines.
  */
 fun allowManyServers() {
-    System.setProperty(IO_PARALLELISM, MANY_THREADS)
+    System.setProperty(IO_PARALLELISM, MAX_IO_THREADS)
 }
 
-/** Builds a site; it is not started. */
-fun site(build: SiteOptions.() -> Unit = {}): Site = Site(SiteOptions().apply(build))
+/** Creates a site without starting it. */
+fun site(configure: SiteOptions.() -> Unit = {}): Site = Site(SiteOptions().apply(configure))
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/SyntheticWeights.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/SyntheticWeights.kt
@@ -1,5 +1,5 @@
 /**
- * Weights that anyone can make from a version's name, for the origin stand-in and the samples.
+ * Weights generated from the name of a version, for the fake origin and the samples.
  */
 package lagoonrudder.standins
 
@@ -16,7 +16,7 @@
 
     private val chunkDigests: List<Digest> by lazy { (0 until chunkCount).map { digestOf(chunk(it)) } }
 
-    /** The list of chunk digests, one on each line. */
+    /** The chunk digests in hexadecimal, one per line. */
     val manifest: ByteArray by lazy { chunkDigests.joinToString("\n") { it.hexadecimal }.encodeToByteArray() }
 
     val manifestDigest: Digest by lazy { digestOf(manifest) }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/DirectSite.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/DirectSite.kt
@@ -1,5 +1,6 @@
 /**
- * A small site on loopback: a store, an origin, entry daemons, and back ends with their target daemons, in one process.
+ * A small site in one process on the loopback interface: a fake store and origin, entry daemons, and fake back ends with
+ * their target daemons.
  */
 package lagoonrudder.standins.direct
 
@@ -52,13 +53,13 @@
     private val client = HttpClient(loop, clock)
     private val servers = mutableListOf<HttpServer>()
     private val cores = mutableListOf<DirectCore>()
-    val store = StoreStandIn()
-    val origin = WeightOriginStandIn()
-    val workers = (1..workers).map { WorkerStandIn("i-$it", scope) }
+    val store = FakeStore()
+    val origin = FakeWeightOrigin()
+    val workers = (1..workers).map { FakeWorker("i-$it", scope) }
     private val storeAddress = listen(store)
     private val originAddress = listen(origin)
     private val workerAddresses = this.workers.map { listen(it) }
-    private val entryListens = (1..entries).map { DirectListen(free(), free(), free()) }
+    private val entryListens = (1..entries).map { DirectListen(freeAddress(), freeAddress(), freeAddress()) }
     private var requests = 0
 
     init {
@@ -69,7 +70,7 @@
         }
     }
 
-    /** Runs [block] on the thread of the stand-ins. */
+    /** Runs [block] on the event loop thread of the fakes. */
     fun <T> onLoop(block: suspend () -> T): T = runBlocking { withContext(loop.dispatcher) { block() } }
 
     fun register(index: Int) {
@@ -83,13 +84,13 @@
                 put("slots", SLOTS)
                 put("state", "ready")
                 put("coldLeftMs", 0)
-                put("born", WorkerStandIn.BORN)
-                with(worker) { holding() }
+                put("born", FakeWorker.BORN)
+                with(worker) { writeLoadedWeights() }
             }.toString(),
         )
     }
 
-    /** Publishes a configuration whose one route has [prefix]. */
+    /** Publishes a configuration whose only route has [prefix]. */
     fun publish(
         revision: Int,
         prefix: String = "/a/",
@@ -97,13 +98,13 @@
         "op/config",
         """{"version":$revision,"routes":[{"name":"r","host":"host","prefix":"$prefix","kind":"stream","timeoutMs":5000,
         "targetLatencyMs":400,"service":"${SERVICE.text}","attempts":2,"canResume":true,"gapAimMs":300}],
-        "services":[{"name":"${SERVICE.text}","maxConns":50,"engine":{"models":[{"name":"$STAND_IN_MODEL"}],"layers":4,
-        "chunks":$STAND_IN_PIECES,"chunkBytes":4096}},{"name":"origin","origin":"$originAddress","zone":"one"}],
+        "services":[{"name":"${SERVICE.text}","maxConns":50,"engine":{"models":[{"name":"$MODEL_NAME"}],"layers":4,
+        "chunks":$CHUNK_COUNT,"chunkBytes":4096}},{"name":"origin","origin":"$originAddress","zone":"one"}],
         "limits":{"maxHeaderBytes":8192,"maxBodyBytes":65536,"headerTimeoutMs":1000,"idleTimeoutMs":5000},
         "tenants":[{"name":"customer","apiKeys":["key"]}]}""",
     )
 
-    /** Sends a caller's request to the entry daemon [entry]; null when its connection ended without a whole answer. */
+    /** Sends a caller's request to the entry daemon [entry] and returns null when no complete response arrived. */
     suspend fun request(
         entry: Int = 0,
         path: String = "/a/b",
@@ -122,17 +123,17 @@
 
     suspend fun isReady(entry: Int): Boolean {
         val request = HttpRequest("GET", "/lagoonrudder/ready", emptyList())
-        val answer = client.exchange(entryListens[entry].ready, request, Peer(PeerRole.ENTRY, "$entry"), 1.seconds)
-        return answer.getOrNull()?.head?.status == 200
+        val response = client.exchange(entryListens[entry].ready, request, Peer(PeerRole.ENTRY, "$entry"), 1.seconds)
+        return response.getOrNull()?.head?.status == 200
     }
 
     /** Waits until [condition] holds. */
     suspend fun eventually(
         limit: Duration = 10.seconds,
         condition: suspend () -> Boolean,
-    ) = withTimeout(limit) { while (!condition()) delay(CHECK_PAUSE) }
+    ) = withTimeout(limit) { while (!condition()) delay(POLL_INTERVAL) }
 
-    /** Violations of invariants in all daemons. */
+    /** The number of invariant violations in all daemons. */
     fun violations(): Long = cores.sumOf { it.invariants.total() }
 
     override fun close() {
@@ -147,8 +148,8 @@
         return Address("127.0.0.1", server.port)
     }
 
-    /** A port that no outgoing connection can take before a daemon binds it. */
-    private fun free(): Address {
+    /** Returns an address whose port the system can't assign to an outgoing connection before a daemon binds it. */
+    private fun freeAddress(): Address {
         while (true) {
             val port = nextPort.getAndIncrement()
             val isFree = runCatching { ServerSocket(port).close() }.isSuccess
@@ -174,7 +175,7 @@
         region = RegionId("first"),
         regions = mapOf(DomainId("one") to RegionId("first")),
         listen = listen,
-        operators = free(),
+        operators = freeAddress(),
         seeds = entryListens.take(1).map { it.peers },
         store = storeAddress,
         slot = slot,
@@ -185,8 +186,8 @@
         val SERVICE = ServiceId("engines")
         const val SLOTS = 4
 
-        /** Below the ports that systems give to outgoing connections. */
+        /** Below the ephemeral port range. */
         val nextPort = AtomicInteger(20_000 + Random.nextInt(8_000))
-        val CHECK_PAUSE = 20.milliseconds
+        val POLL_INTERVAL = 20.milliseconds
     }
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/StoreStandIn.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/FakeStore.kt
@@ -1,5 +1,5 @@
 /**
- * A store that can be read and watched, with a history that can be lost and answers that can be refused.
+ * A fake key-value store that can be read and watched, with a history that can be compacted and failures that can be injected.
  */
 package lagoonrudder.standins.direct
 
@@ -16,8 +16,8 @@
 import java.util.Base64
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Every function runs on the loop's thread. */
-class StoreStandIn : HttpHandler {
+/** All functions must be called on the thread of the event loop. */
+class FakeStore : HttpHandler {
     private class Item(
         val revision: Long,
         val value: ByteArray?,
@@ -25,11 +25,11 @@
 
     private val items = sortedMapOf<String, Item>()
     private var revision = 1L
-    private var historyFrom = 0L
+    private var compactedRevision = 0L
     private var changed = CompletableDeferred<Unit>()
 
-    /** Whether the store answers every call with 503. */
-    var down = false
+    /** Whether all calls are rejected with status 503. */
+    var unavailable = false
 
     /** The number of calls so far. */
     var calls = 0
@@ -42,18 +42,18 @@
 
     fun remove(key: String) = write(key, null)
 
-    /** Forgets the history up to now, so that a watch from before must read again. */
+    /** Discards the history up to now, so that watches from earlier revisions fail with status 410 and must read again. */
     fun compact() {
-        historyFrom = revision
-        wake()
+        compactedRevision = revision
+        notifyWatchers()
     }
 
     override suspend fun handle(exchange: HttpExchange) {
         calls++
-        val query = queryOf(exchange.request.target)
+        val query = queryParameters(exchange.request.target)
         when {
-            down -> exchange.respond(503, emptyList(), NO_BYTES)
-            "kv-range" in exchange.request.target -> exchange.json(range(query))
+            unavailable -> exchange.respond(503, emptyList(), NO_BYTES)
+            "kv-range" in exchange.request.target -> exchange.respondJson(range(query))
             else -> watch(exchange, query)
         }
     }
@@ -64,10 +64,10 @@
     ) {
         revision++
         items[key] = Item(revision, value)
-        wake()
+        notifyWatchers()
     }
 
-    private fun wake() {
+    private fun notifyWatchers() {
         changed.complete(Unit)
         changed = CompletableDeferred()
     }
@@ -76,8 +76,8 @@
         val from = query["after"].orEmpty()
         val present = items.filter { it.value.value != null && it.key > from }.entries.toList()
         return buildJsonObject {
-            putJsonArray("items") { present.take(PAGE).forEach { (key, item) -> add(described(key, item)) } }
-            put("hasMore", present.size > PAGE)
+            putJsonArray("items") { present.take(PAGE_SIZE).forEach { (key, item) -> add(itemJson(key, item)) } }
+            put("hasMore", present.size > PAGE_SIZE)
             put("at", revision)
         }
     }
@@ -87,18 +87,18 @@
         query: Map<String, String>,
     ) {
         val after = query.getValue("after").toLong()
-        withTimeoutOrNull(query.getValue("waitMs").toLong().milliseconds) { while (!down && after >= revision) changed.await() }
-        if (after < historyFrom) return exchange.respond(410, emptyList(), NO_BYTES)
+        withTimeoutOrNull(query.getValue("waitMs").toLong().milliseconds) { while (!unavailable && after >= revision) changed.await() }
+        if (after < compactedRevision) return exchange.respond(410, emptyList(), NO_BYTES)
         val events = items.filter { it.value.revision > after }.entries.sortedBy { it.value.revision }
-        exchange.json(
+        exchange.respondJson(
             buildJsonObject {
-                putJsonArray("events") { events.forEach { (key, item) -> add(described(key, item)) } }
+                putJsonArray("events") { events.forEach { (key, item) -> add(itemJson(key, item)) } }
                 put("at", revision)
             },
         )
     }
 
-    private fun described(
+    private fun itemJson(
         key: String,
         item: Item,
     ) = buildJsonObject {
@@ -108,13 +108,13 @@
     }
 
     private companion object {
-        const val PAGE = 3
+        const val PAGE_SIZE = 3
     }
 }
 
-internal suspend fun HttpExchange.json(body: JsonObject) = respond(200, emptyList(), body.toString().encodeToByteArray())
+internal suspend fun HttpExchange.respondJson(body: JsonObject) = respond(200, emptyList(), body.toString().encodeToByteArray())
 
-internal fun queryOf(target: String): Map<String, String> =
+internal fun queryParameters(target: String): Map<String, String> =
     target
         .substringAfter('?', "")
         .split('&')
--- /dev/null
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/FakeWorker.kt
@@ -0,0 +1,213 @@
+/**
+ * A fake back end that serves streams once it has loaded weights, and a fake origin that serves these weights.
+ */
+package lagoonrudder.standins.direct
+
+import kotlinx.coroutines.CoroutineScope
+import kotlinx.coroutines.delay
+import kotlinx.coroutines.launch
+import kotlinx.serialization.json.JsonNull
+import kotlinx.serialization.json.JsonObjectBuilder
+import kotlinx.serialization.json.add
+import kotlinx.serialization.json.addJsonObject
+import kotlinx.serialization.json.buildJsonObject
+import kotlinx.serialization.json.put
+import kotlinx.serialization.json.putJsonArray
+import kotlinx.serialization.json.putJsonObject
+import lagoonrudder.http.HttpExchange
+import lagoonrudder.http.HttpHandler
+import lagoonrudder.http.HttpHead
+import lagoonrudder.http.HttpRequest
+import lagoonrudder.http.NO_BYTES
+import lagoonrudder.model.HeaderField
+import lagoonrudder.model.digestOf
+import kotlin.time.Duration.Companion.milliseconds
+
+internal const val MODEL_NAME = "model"
+internal const val CHUNK_COUNT = 6
+private const val LAYER_COUNT = 4
+private const val CHUNK_BYTES = 4_096
+
+/** Returns chunk [index] of version [version]. */
+internal fun chunkOf(
+    version: Long,
+    index: Int,
+): ByteArray = ByteArray(CHUNK_BYTES) { (it * 31 + index * 7 + version * 13).toByte() }
+
+/** How a back end handles the following requests. */
+enum class WorkerBehavior { NORMAL, ABORTS_MID_EVENT, RESETS_BEFORE_RESPONSE, OVERLOADED, STALLED }
+
+/** All functions must be called on the thread of the event loop. */
+class FakeWorker(
+    val id: String,
+    private val scope: CoroutineScope,
+) : HttpHandler {
+    private val staged = mutableMapOf<Int, ByteArray>()
+    private var loading = false
+    private var orders = 0
+
+    /** The loaded version, or null. */
+    var loadedVersion: Long? = null
+        private set
+
+    /** Whether an order ever loaded chunks that were missing, corrupted or of another version. */
+    var loadedInvalidChunks = false
+        private set
+
+    var behavior = WorkerBehavior.NORMAL
+
+    /** The requests that this back end executed. */
+    val executed = mutableListOf<HttpRequest>()
+
+    /** Corrupts a staged chunk. */
+    fun corruptStagedChunk(index: Int) {
+        staged[index] = ByteArray(CHUNK_BYTES)
+    }
+
+    fun JsonObjectBuilder.writeLoadedWeights() {
+        val loaded = loadedVersion
+        putJsonArray("models") {
+            if (loaded != null) {
+                addJsonObject {
+                    put("name", MODEL_NAME)
+                    put("version", loaded)
+                }
+            }
+        }
+        if (loaded == null) put("layers", JsonNull) else putJsonObject("layers") { writeLayers(loaded) }
+    }
+
+    override suspend fun handle(exchange: HttpExchange) {
+        val target = exchange.request.target
+        val index = queryParameters(target)["num"]?.toInt()
+        when {
+            target.endsWith("/report") -> report(exchange)
+            target.endsWith("/order") -> order(exchange)
+            "/stage-put/" in target && index != null -> {
+                staged[index] = exchange.request.body
+                exchange.respond(200, emptyList(), NO_BYTES)
+            }
+            "/stage-get/" in target && index != null -> {
+                val chunk = staged[index]
+                exchange.respond(if (chunk == null) 404 else 200, emptyList(), chunk ?: NO_BYTES)
+            }
+            else -> serve(exchange)
+        }
+    }
+
+    private fun JsonObjectBuilder.writeLayers(loaded: Long) {
+        put("from", 0)
+        put("target", LAYER_COUNT)
+        put("version", loaded)
+    }
+
+    private suspend fun report(exchange: HttpExchange) =
+        exchange.respondJson(
+            buildJsonObject {
+                writeLoadedWeights()
+                put("busy", loading)
+                put("seq", orders)
+                put("running", 0)
+                put("waiting", 0)
+                put("born", BORN)
+            },
+        )
+
+    private suspend fun order(exchange: HttpExchange) {
+        val ordered =
+            Regex("\"version\":(\\d+)")
+                .find(exchange.request.body.decodeToString())
+                ?.groupValues
+                ?.get(1)
+                ?.toLong()
+        if (ordered == null || loading) return exchange.respond(409, emptyList(), NO_BYTES)
+        orders++
+        loading = true
+        if ((0 until CHUNK_COUNT).any { staged[it]?.contentEquals(chunkOf(ordered, it)) != true }) loadedInvalidChunks = true
+        scope.launch {
+            delay(LOAD_TIME)
+            loadedVersion = ordered
+            loading = false
+        }
+        exchange.respond(202, emptyList(), NO_BYTES)
+    }
+
+    private suspend fun serve(exchange: HttpExchange) {
+        val request = exchange.request
+        val loaded = loadedVersion
+        val expected = request.field("Expect-Instance")
+        val isOtherInstance = expected != null && expected != id
+        val isOtherVersion = request.field("Expect-Version")?.let { it.toLong() != loaded } ?: false
+        when {
+            isOtherInstance || isOtherVersion -> exchange.respond(421, emptyList(), NO_BYTES)
+            loaded == null || loading || behavior == WorkerBehavior.OVERLOADED ->
+                exchange.respond(
+                    503,
+                    listOf(HeaderField("Not-Executed", "1")),
+                    NO_BYTES,
+                )
+            else -> run(exchange, loaded)
+        }
+    }
+
+    private suspend fun run(
+        exchange: HttpExchange,
+        loaded: Long,
+    ) {
+        executed += exchange.request
+        when (behavior) {
+            WorkerBehavior.RESETS_BEFORE_RESPONSE -> return exchange.breakOff()
+            WorkerBehavior.STALLED -> delay(STALL_TIME)
+            else -> Unit
+        }
+        val fields =
+            listOf(
+                HeaderField("Request-Id", exchange.request.field("Request-Id").orEmpty()),
+                HeaderField("Response-Stamp", "stamp-$id"),
+                HeaderField("Weight-Versions", loaded.toString()),
+            )
+        exchange.begin(HttpHead(200, fields))
+        val first = (exchange.request.field("Last-Event-Id")?.toInt() ?: 0) + 1
+        for (event in first..EVENT_COUNT) {
+            if (event == EVENT_COUNT / 2 && behavior == WorkerBehavior.ABORTS_MID_EVENT) {
+                exchange.write("id: $event\nda".encodeToByteArray())
+                return exchange.breakOff()
+            }
+            exchange.write("id: $event\ndata: $event\n\n".encodeToByteArray())
+            delay(EVENT_INTERVAL)
+        }
+        exchange.end()
+    }
+
+    companion object {
+        const val EVENT_COUNT = 6
+        const val BORN = 7L
+        private val LOAD_TIME = 100.milliseconds
+        private val EVENT_INTERVAL = 5.milliseconds
+        private val STALL_TIME = 10_000.milliseconds
+    }
+}
+
+/** A fake origin; [chunksServed] counts the chunks that it sent. */
+class FakeWeightOrigin : HttpHandler {
+    var latestVersion = 1L
+    var chunksServed = 0
+        private set
+
+    override suspend fun handle(exchange: HttpExchange) {
+        val query = queryParameters(exchange.request.target)
+        val version = query["version"]?.toLong() ?: latestVersion
+        if ("/manifest/" in exchange.request.target) {
+            exchange.respondJson(
+                buildJsonObject {
+                    put("model", MODEL_NAME)
+                    put("version", version)
+                    putJsonArray("digests") { (0 until CHUNK_COUNT).forEach { add(digestOf(chunkOf(version, it)).hexadecimal) } }
+                },
+            )
+        } else {
+            chunksServed++
+            exchange.respond(200, emptyList(), chunkOf(version, query.getValue("num").toInt()))
+        }
+    }
+}
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/OnceMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/OnceMeasure.kt
@@ -11,8 +11,8 @@
 import lagoonrudder.model.Service
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.objectSet
-import lagoonrudder.standins.CallEnd
-import lagoonrudder.standins.keyIssuedAt
+import lagoonrudder.standins.Reply
+import lagoonrudder.standins.uuidV7At
 import lagoonrudder.standins.virtual.RandomFaults
 import lagoonrudder.standins.virtual.VirtualOptions
 import lagoonrudder.standins.virtual.VirtualSite
@@ -28,13 +28,13 @@
 
 /** What became of the orders of a run. */
 class OnceResult {
-    val tries = mutableMapOf<String, MutableList<CallEnd>>()
+    val tries = mutableMapOf<String, MutableList<Reply>>()
     var doubleRuns = 0
     var falseNotRuns = 0
     var wrong = 0
     var violations = 0
 
-    fun count(which: (CallEnd) -> Boolean): Int = tries.values.sumOf { ends -> ends.count(which) }
+    fun count(which: (Reply) -> Boolean): Int = tries.values.sumOf { ends -> ends.count(which) }
 }
 
 /** The objects of the measurement, with [out] taken out of service. */
@@ -85,11 +85,11 @@
     figures {
         add("orders", results.sumOf { it.tries.size })
         add("calls", results.sumOf { result -> result.count { true } })
-        add("done", results.sumOf { result -> result.count { it is CallEnd.Whole } })
-        add("not-run", results.sumOf { result -> result.count { it is CallEnd.NotRun } })
+        add("done", results.sumOf { result -> result.count { it is Reply.Complete } })
+        add("not-run", results.sumOf { result -> result.count { it is Reply.NotRun } })
         for ((code, count) in codes(results)) add("not-run-$code", count)
-        add("unknown", results.sumOf { result -> result.count { it is CallEnd.Unknown } })
-        add("broken", results.sumOf { result -> result.count { it is CallEnd.Broken } })
+        add("unknown", results.sumOf { result -> result.count { it is Reply.Unknown } })
+        add("broken", results.sumOf { result -> result.count { it is Reply.Broken } })
         add("wrong", results.sumOf { it.wrong })
         add("double-runs", results.sumOf { it.doubleRuns })
         add("false-not-runs", results.sumOf { it.falseNotRuns })
@@ -99,7 +99,7 @@
 private fun codes(results: List<OnceResult>): Map<String, Int> =
     results
         .flatMap { it.tries.values.flatten() }
-        .filterIsInstance<CallEnd.NotRun>()
+        .filterIsInstance<Reply.NotRun>()
         .groupingBy { it.code }
         .eachCount()
 
@@ -110,14 +110,14 @@
     result: OnceResult,
 ) {
     val random = Random(seed * 100_003 + number)
-    val key = RepeatKey(keyIssuedAt(clock.now().toEpochMilliseconds() - random.nextLong(50), random))
+    val key = RepeatKey(uuidV7At(clock.now().toEpochMilliseconds() - random.nextLong(50), random))
     val body = "order-$number"
     val ends = result.tries.getOrPut(body) { mutableListOf() }
     repeat(1 + random.nextInt(MOST_REPEATS)) {
         val before = runsOf(body)
         val end = sendOrder(entries.random(random), "/v1/fees", "token-farm", key, body, 8.seconds)
         ends += end
-        if (end is CallEnd.NotRun && ends.size == 1) checkNotRun(body, before, result)
+        if (end is Reply.NotRun && ends.size == 1) checkNotRun(body, before, result)
         delay(random.nextInt(800).milliseconds)
     }
 }
@@ -139,7 +139,7 @@
     result: OnceResult,
 ) {
     result.doubleRuns = result.tries.keys.count { site.runsOf(it) > 1 }
-    result.wrong = result.count { it is CallEnd.Wrong }
+    result.wrong = result.count { it is Reply.Wrong }
     result.violations = site.violations.size
     site.violations.take(3).forEach { println("violation: $it") }
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/RandomMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/RandomMeasure.kt
@@ -11,10 +11,10 @@
 import lagoonrudder.model.Service
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.objectSet
-import lagoonrudder.standins.CallEnd
 import lagoonrudder.standins.EngineTraits
+import lagoonrudder.standins.Reply
 import lagoonrudder.standins.TextCall
-import lagoonrudder.standins.keyIssuedAt
+import lagoonrudder.standins.uuidV7At
 import lagoonrudder.standins.virtual.RandomFaults
 import lagoonrudder.standins.virtual.VirtualOptions
 import lagoonrudder.standins.virtual.VirtualSite
@@ -27,13 +27,13 @@
 import kotlin.time.Duration.Companion.seconds
 
 private val places = listOf("ost", "west", "sued")
-private val traits = EngineTraits(coldRequests = 2, warmRequests = 6, warmUp = 4.seconds, memoryTokens = 3_000, downTime = 1.seconds)
+private val traits = EngineTraits(coldCapacity = 2, warmCapacity = 6, warmUp = 4.seconds, memoryTokens = 3_000, downTime = 1.seconds)
 private const val CALLS_PER_SECOND = 60.0
 private const val STEP_SECONDS = 2
 
 /** What a random run saw. */
 class RandomResult {
-    val ends = mutableListOf<CallEnd>()
+    val ends = mutableListOf<Reply>()
     val problems = mutableListOf<String>()
     var doubleRuns = 0
 }
@@ -53,7 +53,7 @@
         engineFleet("workers", version, replaces = if (version == "m-1") "m-2" else "m-1")
         plainFleet("ledger")
         places.forEach { place ->
-            repeat(2) { target("worker-$place-$it", "workers", place, requests = traits.warmRequests, memoryTokens = traits.memoryTokens) }
+            repeat(2) { target("worker-$place-$it", "workers", place, requests = traits.warmCapacity, memoryTokens = traits.memoryTokens) }
             target("ledger-$place", "ledger", place, requests = 32)
         }
         route("text", "/v1/text", "workers", deadline = 4.seconds)
@@ -79,7 +79,7 @@
             arrivals(Random(seed), CALLS_PER_SECOND, seconds.seconds) { callAny(it, seed, result) }
         }
     result.problems += site.violations.map { "${it.invariant} ${it.detail}" }
-    result.problems += result.ends.filterIsInstance<CallEnd.Wrong>().map { "wrong answer: ${it.detail}" }
+    result.problems += result.ends.filterIsInstance<Reply.Wrong>().map { "wrong answer: ${it.detail}" }
     val runs =
         site.targets.values
             .flatMap { it.backEnd.runs.entries }
@@ -102,10 +102,10 @@
     val ends = results.flatMap { it.ends }
     return figures {
         add("calls", ends.size)
-        add("whole", ends.count { it is CallEnd.Whole })
-        add("not-run", ends.count { it is CallEnd.NotRun })
-        add("unknown", ends.count { it is CallEnd.Unknown })
-        add("broken", ends.count { it is CallEnd.Broken })
+        add("whole", ends.count { it is Reply.Complete })
+        add("not-run", ends.count { it is Reply.NotRun })
+        add("unknown", ends.count { it is Reply.Unknown })
+        add("broken", ends.count { it is Reply.Broken })
         add("problems", results.sumOf { it.problems.size })
     }
 }
@@ -120,7 +120,7 @@
     val token = "token-customer-${random.nextInt(4)}"
     result.ends +=
         if (random.nextInt(4) == 0) {
-            val key = RepeatKey(keyIssuedAt(clock.now().toEpochMilliseconds(), random))
+            val key = RepeatKey(uuidV7At(clock.now().toEpochMilliseconds(), random))
             sendOrder(entry, "/v1/fees", token, key, "order-$number", 8.seconds)
         } else {
             val pause = if (random.nextInt(20) == 0) random.nextInt(400).milliseconds else Duration.ZERO
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ReaderMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ReaderMeasure.kt
@@ -9,8 +9,8 @@
 import lagoonrudder.control.ReaderMemoryPolicy
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.objectSet
-import lagoonrudder.standins.CallEnd
 import lagoonrudder.standins.EngineTraits
+import lagoonrudder.standins.Reply
 import lagoonrudder.standins.TextCall
 import lagoonrudder.standins.percentile
 import lagoonrudder.standins.virtual.VirtualSite
@@ -29,16 +29,16 @@
 private const val MOST_SLOWDOWN = 1.1
 private val readPause = 30.milliseconds
 private val length = 30.seconds
-private val traits = EngineTraits(coldRequests = 600, warmRequests = 600, memoryTokens = 10_000_000)
+private val traits = EngineTraits(coldCapacity = 600, warmCapacity = 600, memoryTokens = 10_000_000)
 
 private class Held(
     var most: Long = 0,
-    val slow: MutableList<CallEnd> = mutableListOf(),
-    val fast: MutableList<CallEnd> = mutableListOf(),
+    val slow: MutableList<Reply> = mutableListOf(),
+    val fast: MutableList<Reply> = mutableListOf(),
     var violations: Int = 0,
 ) {
-    val fastWhole: Double get() = fast.count { it is CallEnd.Whole }.toDouble() / fast.size.coerceAtLeast(1)
-    val fastP95: Duration get() = percentile(fast.filterIsInstance<CallEnd.Whole>().map { it.firstByte }, 0.95)
+    val fastWhole: Double get() = fast.count { it is Reply.Complete }.toDouble() / fast.size.coerceAtLeast(1)
+    val fastP95: Duration get() = percentile(fast.filterIsInstance<Reply.Complete>().map { it.firstByte }, 0.95)
 }
 
 private fun objects(): ObjectSet =
@@ -50,7 +50,7 @@
         model("m")
         version("m-1", "m")
         engineFleet("workers", "m-1")
-        repeat(4) { target("worker-$it", "workers", "ost", requests = traits.warmRequests, memoryTokens = traits.memoryTokens) }
+        repeat(4) { target("worker-$it", "workers", "ost", requests = traits.warmCapacity, memoryTokens = traits.memoryTokens) }
         route("text", "/v1/text", "workers", deadline = 30.seconds)
     }
 
@@ -64,7 +64,7 @@
     println("policy=unbounded ${lineOf(1_000, unbounded)}")
     val slowdown = bounded.values.maxOf { it.fastP95 / without.fastP95 }
     val holds =
-        bounded.values.all { it.most <= BUDGET_BYTES && it.violations == 0 && it.slow.none { end -> end is CallEnd.Wrong } } &&
+        bounded.values.all { it.most <= BUDGET_BYTES && it.violations == 0 && it.slow.none { end -> end is Reply.Wrong } } &&
             slowdown <= MOST_SLOWDOWN &&
             bounded.values.all { it.fastWhole >= LEAST_FAST_WHOLE }
     val line =
@@ -85,10 +85,10 @@
     figures {
         add("slow-readers", readers)
         add("most-held-bytes-of-an-entry", held.most)
-        add("slow-whole", held.slow.count { it is CallEnd.Whole })
-        add("slow-refused", held.slow.count { it is CallEnd.NotRun })
-        add("slow-broken", held.slow.count { it is CallEnd.Broken })
-        add("slow-wrong", held.slow.count { it is CallEnd.Wrong })
+        add("slow-whole", held.slow.count { it is Reply.Complete })
+        add("slow-refused", held.slow.count { it is Reply.NotRun })
+        add("slow-broken", held.slow.count { it is Reply.Broken })
+        add("slow-wrong", held.slow.count { it is Reply.Wrong })
         add("fast-calls", held.fast.size)
         add("fast-whole", held.fastWhole)
         add("fast-first-p95", held.fastP95)
@@ -107,7 +107,7 @@
             engine = traits
             this.readers = policy
             limit = LimitPolicy.Fixed
-            entriesEach = 4
+            entriesPerDomain = 4
         }) {
             repeat(readers) { number -> scope.launch { held.slow += read(number, "slow", SLOW_TOKENS, readPause) } }
             scope.launch { watch(held) }
@@ -122,7 +122,7 @@
     customer: String,
     tokens: Int,
     pause: Duration,
-): CallEnd = askText(entries[number % entries.size], TextCall("/v1/text", "token-$customer", "prompt $number", tokens, 110.seconds, pause))
+): Reply = askText(entries[number % entries.size], TextCall("/v1/text", "token-$customer", "prompt $number", tokens, 110.seconds, pause))
 
 private suspend fun VirtualSite.watch(held: Held) {
     while (clock.elapsed() < 110.seconds) {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/TrafficMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/TrafficMeasure.kt
@@ -11,8 +11,8 @@
 import lagoonrudder.control.ReaderMemoryPolicy
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.objectSet
-import lagoonrudder.standins.CallEnd
 import lagoonrudder.standins.EngineTraits
+import lagoonrudder.standins.Reply
 import lagoonrudder.standins.TextCall
 import lagoonrudder.standins.percentile
 import lagoonrudder.standins.virtual.VirtualOptions
@@ -74,7 +74,7 @@
 private const val WORKERS = 8
 private const val CUSTOMERS = 10
 private const val BURST_FACTOR = 10
-private val traits = EngineTraits(coldRequests = 2, warmRequests = 8, warmUp = 6.seconds, memoryTokens = 20_000)
+private val traits = EngineTraits(coldCapacity = 2, warmCapacity = 8, warmUp = 6.seconds, memoryTokens = 20_000)
 private val warmUp = 5.seconds
 private val length = 15.seconds
 
@@ -93,7 +93,7 @@
         engineFleet("workers", "m-1")
         val domains = listOf("ost", "west", "sued")
         repeat(WORKERS) {
-            target("worker-$it", "workers", domains[it % 3], requests = traits.warmRequests, memoryTokens = traits.memoryTokens)
+            target("worker-$it", "workers", domains[it % 3], requests = traits.warmCapacity, memoryTokens = traits.memoryTokens)
         }
         route("text", "/v1/text", "workers", deadline = workload.deadline)
         route("jury", "/v1/jury", "workers", deadline = workload.deadline, priority = 3)
@@ -106,7 +106,7 @@
     class One(
         val customer: Int,
         val jury: Boolean,
-        val end: CallEnd,
+        val end: Reply,
     )
 
     val calls = mutableListOf<One>()
@@ -114,7 +114,7 @@
     fun inTime(
         deadline: Duration,
         which: (One) -> Boolean = { true },
-    ): Int = calls.count { which(it) && (it.end as? CallEnd.Whole)?.let { end -> end.total <= deadline } == true }
+    ): Int = calls.count { which(it) && (it.end as? Reply.Complete)?.let { end -> end.total <= deadline } == true }
 }
 
 fun measureTraffic(options: MeasureOptions): Verdict {
@@ -161,7 +161,7 @@
             policies.build(this)
         }) { script(workload, case, capacity, seed, observed) }
     val seconds = length.toDouble(DurationUnit.SECONDS)
-    val whole = observed.calls.mapNotNull { it.end as? CallEnd.Whole }
+    val whole = observed.calls.mapNotNull { it.end as? Reply.Complete }
     val others = { one: Observed.One -> case !is Case.Burst || one.customer != 0 }
     val share =
         when (case) {
@@ -183,14 +183,14 @@
             listOf(0.5, 0.95, 0.99).forEach { add("token-p${(it * 100).toInt()}", percentile(whole.flatMap { end -> end.gaps }, it)) }
             addRefusals("not-run", observed.calls)
             addRefusals("others-not-run", observed.calls.filter(others))
-            val waits = observed.calls.filter(others).mapNotNull { (it.end as? CallEnd.NotRun)?.total }
+            val waits = observed.calls.filter(others).mapNotNull { (it.end as? Reply.NotRun)?.total }
             add("others-refused-after-p50", percentile(waits, 0.5))
             add("others-refused-after-p95", percentile(waits, 0.95))
-            add("others-late", observed.calls.count { others(it) && it.end is CallEnd.Whole } - observed.inTime(workload.deadline, others))
-            add("broken", observed.calls.count { it.end is CallEnd.Broken })
-            add("wrong", observed.calls.count { it.end is CallEnd.Wrong })
+            add("others-late", observed.calls.count { others(it) && it.end is Reply.Complete } - observed.inTime(workload.deadline, others))
+            add("broken", observed.calls.count { it.end is Reply.Broken })
+            add("wrong", observed.calls.count { it.end is Reply.Wrong })
             add("jury-in-time", juryShare(observed, workload))
-            add("falls", site.targets.values.sumOf { it.backEnd.falls })
+            add("falls", site.targets.values.sumOf { it.backEnd.crashes })
             add("violations", site.violations.size)
         },
     )
@@ -202,7 +202,7 @@
     name: String,
     calls: List<Observed.One>,
 ) {
-    val codes = calls.mapNotNull { (it.end as? CallEnd.NotRun)?.code }
+    val codes = calls.mapNotNull { (it.end as? Reply.NotRun)?.code }
     for ((code, count) in codes.groupingBy { it }.eachCount()) add("$name-$code", count)
 }
 
@@ -217,8 +217,8 @@
 /** The requests a second that all warm engines bear without slowing down. */
 private fun capacityOf(workload: Workload): Double {
     val tokens = (workload.tokens.first + workload.tokens.last) / 2.0
-    val each = traits.firstToken + traits.tokenInterval * tokens
-    return WORKERS * traits.warmRequests / each.toDouble(DurationUnit.SECONDS)
+    val each = traits.firstTokenDelay + traits.tokenInterval * tokens
+    return WORKERS * traits.warmCapacity / each.toDouble(DurationUnit.SECONDS)
 }
 
 private suspend fun VirtualSite.script(
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualBackEnd.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualBackEnd.kt
@@ -27,8 +27,8 @@
 import lagoonrudder.model.VersionId
 import lagoonrudder.standins.EngineLoad
 import lagoonrudder.standins.EngineTraits
-import lagoonrudder.standins.TOKEN_CHARACTERS
-import lagoonrudder.standins.textOf
+import lagoonrudder.standins.TOKEN_LENGTH
+import lagoonrudder.standins.tokenAt
 import lagoonrudder.traffic.Work
 import lagoonrudder.traffic.target.BackEnd
 import lagoonrudder.traffic.target.EngineEvent
@@ -50,7 +50,7 @@
 
     /** How often each body of a plain call ran. */
     val runs = mutableMapOf<String, Int>()
-    var falls = 0
+    var crashes = 0
         private set
     var mostRequests = 0
         private set
@@ -79,12 +79,12 @@
             val served = version
             if (clock.elapsed() < downUntil) return@flow emit(Failure.Unreachable(Step.RUN, PEER, "down").left())
             if (served == null) return@flow emit(Failure.Declined(Step.RUN, PEER, "nothing loaded").left())
-            val tokens = request.work.maximumTokens + request.work.prompt.length / TOKEN_CHARACTERS + 1L
-            enter(tokens)
+            val tokens = request.work.maximumTokens + request.work.prompt.length / TOKEN_LENGTH + 1L
+            admit(tokens)
             try {
                 answer(request, served, life)
             } finally {
-                load.leave(tokens)
+                load.release(tokens)
             }
         }
 
@@ -121,11 +121,11 @@
 
     fun engineState() = EngineState(IncarnationId("life-$life"), version, EngineRole.SERVE, FencingNumber(1), false, 0)
 
-    private fun enter(tokens: Long) {
-        val stands = load.enter(tokens, age())
+    private fun admit(tokens: Long) {
+        val stands = load.admit(tokens, age())
         mostRequests = maxOf(mostRequests, load.requests())
         if (stands) return
-        falls++
+        crashes++
         restart()
     }
 
@@ -135,14 +135,14 @@
         own: Int,
     ) {
         emit(EngineEvent.Started(IncarnationId("life-$own"), served).right())
-        pause(traits.firstToken)
+        pause(traits.firstTokenDelay)
         val sum = CRC32C()
         var offset = request.offset
-        val length = request.work.maximumTokens.toLong() * TOKEN_CHARACTERS
+        val length = request.work.maximumTokens.toLong() * TOKEN_LENGTH
         while (offset < length) {
             while (silent) delay(SILENCE_CHECK)
             if (own != life) return emit(Failure.Interrupted(Step.RUN, PEER, "the engine fell over").left())
-            val piece = textOf(served.text, request.work.prompt, offset).encodeToByteArray()
+            val piece = tokenAt(served.text, request.work.prompt, offset).encodeToByteArray()
             sum.update(piece)
             emit(EngineEvent.Text(offset, piece).right())
             offset += piece.size
@@ -152,7 +152,7 @@
     }
 
     private suspend fun pause(alone: Duration) =
-        delay((alone.inWholeMicroseconds * load.slowness(age()) / MICROSECONDS).roundToLong().milliseconds)
+        delay((alone.inWholeMicroseconds * load.slowdown(age()) / MICROSECONDS).roundToLong().milliseconds)
 
     private fun age() = clock.elapsed() - startedAt
 
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualCaller.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualCaller.kt
@@ -9,17 +9,17 @@
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.RepeatKey
 import lagoonrudder.model.VersionId
-import lagoonrudder.standins.CallEnd
+import lagoonrudder.standins.Reply
 import lagoonrudder.standins.TextCall
-import lagoonrudder.standins.wholeAnswer
+import lagoonrudder.standins.expectedText
 import lagoonrudder.traffic.entry.AnswerSink
 import lagoonrudder.traffic.entry.CallerRequest
 import kotlin.time.Duration
 
-/** Collects an answer; each write takes [pause], as a slow reader would. */
+/** Collects an answer; each write takes [readDelay], as a slow reader would. */
 class VirtualSink(
     private val clock: VirtualClock,
-    private val pause: Duration,
+    private val readDelay: Duration,
 ) : AnswerSink {
     private val bytes = StringBuilder()
     val times = mutableListOf<Duration>()
@@ -46,7 +46,7 @@
     override suspend fun write(data: ByteArray) {
         bytes.append(data.decodeToString())
         times += clock.elapsed()
-        if (pause > Duration.ZERO) delay(pause)
+        if (readDelay > Duration.ZERO) delay(readDelay)
     }
 
     override suspend fun finish(
@@ -65,14 +65,14 @@
 suspend fun VirtualSite.askText(
     entry: VirtualEntry,
     call: TextCall,
-): CallEnd {
-    val sink = VirtualSink(clock, call.pause)
+): Reply {
+    val sink = VirtualSink(clock, call.readDelay)
     val started = clock.elapsed()
     val body = "{\"prompt\":\"${call.prompt}\",\"max_tokens\":${call.tokens}}".encodeToByteArray()
     val request = CallerRequest("POST", call.path, call.token, null, "application/json", body)
-    val outcome = withTimeoutOrNull(call.limit) { entry.call(request, sink) } ?: return CallEnd.Broken("no end within ${call.limit}")
+    val outcome = withTimeoutOrNull(call.limit) { entry.call(request, sink) } ?: return Reply.Broken("no end within ${call.limit}")
     val took = clock.elapsed() - started
-    return judge(outcome, sink, started, took) { wholeAnswer(sink.version?.text.orEmpty(), call.prompt, call.tokens) }
+    return judge(outcome, sink, started, took) { expectedText(sink.version?.text.orEmpty(), call.prompt, call.tokens) }
 }
 
 /** Sends an order that may run at most once. */
@@ -83,11 +83,11 @@
     key: RepeatKey,
     body: String,
     limit: Duration,
-): CallEnd {
+): Reply {
     val sink = VirtualSink(clock, Duration.ZERO)
     val started = clock.elapsed()
     val request = CallerRequest("POST", path, token, key, "text/plain", body.encodeToByteArray())
-    val outcome = withTimeoutOrNull(limit) { entry.call(request, sink) } ?: return CallEnd.Broken("no end within $limit")
+    val outcome = withTimeoutOrNull(limit) { entry.call(request, sink) } ?: return Reply.Broken("no end within $limit")
     return judge(outcome, sink, started, clock.elapsed() - started) { "done $body" }
 }
 
@@ -97,14 +97,14 @@
     started: Duration,
     took: Duration,
     expected: () -> String,
-): CallEnd =
+): Reply =
     when (outcome) {
         is Outcome.Completed -> {
             val right = sink.finished && sink.text == expected()
             val first = (sink.times.firstOrNull() ?: started) - started
             val gaps = sink.times.zipWithNext { one, two -> two - one }
             if (right) {
-                CallEnd.Whole(
+                Reply.Complete(
                     sink.text,
                     sink.version?.text.orEmpty(),
                     first,
@@ -112,13 +112,13 @@
                     gaps,
                 )
             } else {
-                CallEnd.Wrong("length ${sink.text.length}")
+                Reply.Wrong("length ${sink.text.length}")
             }
         }
         is Outcome.Refused -> {
             val clean = !sink.started && !sink.finished
-            if (clean) CallEnd.NotRun(outcome.refusal.code, took, outcome.refusal.retryAfter) else CallEnd.Wrong("refused after a start")
+            if (clean) Reply.NotRun(outcome.refusal.code, took, outcome.refusal.retryAfter) else Reply.Wrong("refused after a start")
         }
-        is Outcome.Unknown -> CallEnd.Unknown(outcome.failure.describe())
-        is Outcome.Broken -> if (sink.finished) CallEnd.Wrong("broken after its end") else CallEnd.Broken(outcome.failure.describe())
+        is Outcome.Unknown -> Reply.Unknown(outcome.failure.describe())
+        is Outcome.Broken -> if (sink.finished) Reply.Wrong("broken after its end") else Reply.Broken(outcome.failure.describe())
     }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
@@ -109,7 +109,7 @@
     var readers: ReaderMemoryPolicy = ReaderMemoryPolicy.Windowed()
     var repeats = RepeatPolicy()
     var engine = EngineTraits()
-    var entriesEach = 2
+    var entriesPerDomain = 2
     var latency: Duration = 2.milliseconds
     var faults: FaultSource = FaultSource { LinkFault.None }
 
@@ -174,7 +174,7 @@
     fun start() {
         revision = Revision(1)
         objects.targets.values.forEach { startTarget(it) }
-        for (domain in objects.domains.keys) repeat(options.entriesEach) { entries += entry(domain, it) }
+        for (domain in objects.domains.keys) repeat(options.entriesPerDomain) { entries += entry(domain, it) }
         configureAll()
         scope.launch { report() }
         entries.forEach { scope.launch { tick(it) } }
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/ProcessTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/ProcessTest.kt
@@ -40,13 +40,13 @@
 
 private fun freePort(): Int = ServerSocket(0).use { it.localPort }
 
-/** Daemons as processes of their own, with stand-ins in this one and a fault proxy before one target. */
-private class Processes(
+/** Runs daemons as separate processes, with the fakes in this process and a fault proxy in front of target daemon a. */
+private class ProcessSite(
     private val folder: File,
 ) : AutoCloseable {
-    val platform = PlatformStandIn()
-    val origin = OriginStandIn(20_000_000).apply { publish("m-1", weights) }
-    val engines = listOf("a", "b").associateWith { EngineStandIn() }
+    val platform = FakePlatform()
+    val origin = FakeOrigin(20_000_000).apply { publish("m-1", weights) }
+    val engines = listOf("a", "b").associateWith { FakeEngine() }
     val http = httpClient()
     private val running = mutableMapOf<String, Process>()
     val callers = Address(LOOPBACK, freePort())
@@ -63,22 +63,24 @@
         val port = targetPorts.getValue(name)
         val slot = "[slot]\ntarget = worker-$name\nback-end = ${engines.getValue(name).address}\n"
         start("target-$name", DaemonRole.TARGET, port, slot)
-        val reached = if (name == "a") proxy.address else Address(LOOPBACK, port)
-        platform.list(Instance(DaemonId("target-$name"), DaemonRole.TARGET, DomainId("ost"), TargetId("worker-$name"), reached, false))
+        val advertised = if (name == "a") proxy.address else Address(LOOPBACK, port)
+        platform.addInstance(
+            Instance(DaemonId("target-$name"), DaemonRole.TARGET, DomainId("ost"), TargetId("worker-$name"), advertised, false),
+        )
     }
 
     fun startEntry() {
         val port = freePort()
         start("entry", DaemonRole.ENTRY, port, "")
-        platform.list(Instance(DaemonId("entry"), DaemonRole.ENTRY, DomainId("ost"), null, Address(LOOPBACK, port), false))
+        platform.addInstance(Instance(DaemonId("entry"), DaemonRole.ENTRY, DomainId("ost"), null, Address(LOOPBACK, port), false))
     }
 
-    /** Ends a process without notice. */
+    /** Kills a process without a graceful shutdown. */
     fun kill(name: String) {
         running.getValue(name).destroyForcibly().waitFor()
     }
 
-    /** Sends the stop signal and returns the exit code once the process has ended. */
+    /** Sends SIGTERM and returns the exit code once the process has ended. */
     fun stop(name: String): Int {
         val process = running.getValue(name)
         process.destroy()
@@ -86,9 +88,9 @@
         return process.exitValue()
     }
 
-    suspend fun ask(tokens: Int = 20): CallEnd = Caller(http).text(callers, TextCall("/v1/text", "token-tirol", "prompt", tokens))
+    suspend fun send(tokens: Int = 20): Reply = Caller(http).text(callers, TextCall("/v1/text", "token-tirol", "prompt", tokens))
 
-    suspend fun awaitAnswer() = Site.await { ask() is CallEnd.Whole }
+    suspend fun awaitResponse() = Site.await { send() is Reply.Complete }
 
     override fun close() {
         running.values.forEach { it.destroyForcibly().waitFor() }
@@ -120,43 +122,43 @@
 
 class ProcessTest :
     FunSpec({
-        test("processes serve, survive a killed target, a silent connection and a replaced entry, and stop without cutting anything off") {
-            Processes(tempdir()).use { site ->
-                site.awaitAnswer()
+        test("requests survive a killed target daemon, stalled connections and a replaced entry daemon, and complete during shutdown") {
+            ProcessSite(tempdir()).use { site ->
+                site.awaitResponse()
 
                 site.kill("target-b")
-                List(5) { site.ask() }.forEach { it.shouldBeInstanceOf<CallEnd.Whole>() }
+                List(5) { site.send() }.forEach { it.shouldBeInstanceOf<Reply.Complete>() }
                 site.startTarget("b")
-                val begunBefore =
+                val startedBefore =
                     site.engines
                         .getValue("b")
-                        .begun
+                        .requestsStarted
                         .get()
                 Site.await {
-                    site.ask()
+                    site.send()
                     site.engines
                         .getValue("b")
-                        .begun
-                        .get() > begunBefore
+                        .requestsStarted
+                        .get() > startedBefore
                 }
 
-                site.proxy.inject(Fault.SilentOld)
-                val afterSilence = List(6) { site.ask() }
-                afterSilence.filterNot { it is CallEnd.Whole }.shouldBeEmpty()
+                site.proxy.inject(Fault.StallExisting)
+                val afterStall = List(6) { site.send() }
+                afterStall.filterNot { it is Reply.Complete }.shouldBeEmpty()
                 site.proxy.inject(Fault.None)
 
                 site.kill("entry")
                 site.startEntry()
-                site.awaitAnswer()
+                site.awaitResponse()
 
                 coroutineScope {
-                    val long = List(4) { async { site.ask(tokens = 150) } }
+                    val longRequests = List(4) { async { site.send(tokens = 150) } }
                     delay(400.milliseconds)
                     site.stop("target-b")
                     site.stop("entry")
-                    long.awaitAll().forEach { it.shouldBeInstanceOf<CallEnd.Whole>() }
+                    longRequests.awaitAll().forEach { it.shouldBeInstanceOf<Reply.Complete>() }
                 }
-                site.engines.values.sumOf { it.ended.get() } shouldBeGreaterThan 10L
+                site.engines.values.sumOf { it.requestsCompleted.get() } shouldBeGreaterThan 10L
             }
         }
     })
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/RandomRunsTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/RandomRunsTest.kt
@@ -24,21 +24,21 @@
 private val seeds = 1..4
 private const val STEPS = 15
 
-/** Forwards to [link]; the base of deliberate defects. */
-private open class ForwardingLink(
-    private val link: TargetLink,
-) : TargetLink by link
+/** Forwards to [client]; the base class of deliberately defective clients. */
+private open class ForwardingClient(
+    private val client: TargetLink,
+) : TargetLink by client
 
-/** A defect: the checksum of each piece is made to fit whatever arrived, and the end mark is believed. */
-private class TrustingLink(
-    private val link: TargetLink,
-) : ForwardingLink(link) {
+/** A defect: recomputes the checksum of each chunk from the received data and accepts the end marker as it is. */
+private class UnverifiedClient(
+    private val client: TargetLink,
+) : ForwardingClient(client) {
     override fun run(
         target: Instance,
         request: RunRequest,
-    ): Flow<Either<Failure, RunEvent>> = link.run(target, request).map { event -> event.map(::believed) }
+    ): Flow<Either<Failure, RunEvent>> = client.run(target, request).map { event -> event.map(::withMatchingChecksum) }
 
-    private fun believed(event: RunEvent): RunEvent =
+    private fun withMatchingChecksum(event: RunEvent): RunEvent =
         when (event) {
             is RunEvent.Bytes -> RunEvent.Bytes(event.offset, event.data, checksumOf(event.data))
             is RunEvent.Head -> event.copy(request = event.request)
@@ -46,47 +46,47 @@
         }
 }
 
-/** A defect: a failed exchange under a permit is reported as one that never reached the target. */
-private class ForgetfulLink(
-    private val link: TargetLink,
-) : ForwardingLink(link) {
+/** A defect: reports a failed exchange that may have run as one that never reached the target. */
+private class FalseNotRunClient(
+    private val client: TargetLink,
+) : ForwardingClient(client) {
     override fun run(
         target: Instance,
         request: RunRequest,
     ): Flow<Either<Failure, RunEvent>> =
-        link.run(target, request).map { event -> event.mapLeft { Failure.Unreachable(it.step, it.peer, it.detail) } }
+        client.run(target, request).map { event -> event.mapLeft { Failure.Unreachable(it.step, it.peer, it.detail) } }
 
     override suspend fun reserve(
         target: Instance,
         request: ReserveRequest,
         limit: Duration,
     ): Either<Failure, RepeatDecision> =
-        link.reserve(target, request, limit).fold({ RepeatDecision.Uncertain(it.detail).right() }, { it.right() })
+        client.reserve(target, request, limit).fold({ RepeatDecision.Uncertain(it.detail).right() }, { it.right() })
 }
 
 class RandomRunsTest :
     FunSpec({
         for (seed in seeds) {
-            test("a random run with faults keeps every invariant, seed $seed") {
+            test("random runs with faults violate no invariant, seed $seed") {
                 val result = runRandom(seed, STEPS)
                 result.problems.shouldBeEmpty()
-                result.ends.count { it is CallEnd.Whole } shouldBeGreaterThan 500
+                result.ends.count { it is Reply.Complete } shouldBeGreaterThan 500
             }
         }
 
         for (seed in seeds) {
-            test("orders under faults run at most once and refusals are true, seed $seed") {
+            test("orders under faults run at most once and are never falsely reported as not run, seed $seed") {
                 val result = runOnce(seed, 40)
                 listOf(result.doubleRuns, result.falseNotRuns, result.wrong, result.violations) shouldBe listOf(0, 0, 0, 0)
-                result.count { it is CallEnd.Whole } shouldBeGreaterThan 300
+                result.count { it is Reply.Complete } shouldBeGreaterThan 300
             }
         }
 
-        test("the runs catch answers that are believed without a check") {
-            seeds.flatMap { runRandom(it, STEPS) { link = ::TrustingLink }.problems }.shouldNotBeEmpty()
+        test("random runs detect a client that does not verify responses") {
+            seeds.flatMap { runRandom(it, STEPS) { link = ::UnverifiedClient }.problems }.shouldNotBeEmpty()
         }
 
-        test("the runs catch refusals that are not true") {
-            seeds.sumOf { runOnce(it, 40) { link = ::ForgetfulLink }.falseNotRuns } shouldBeGreaterThan 0
+        test("runs with faults detect false reports of requests that did not run") {
+            seeds.sumOf { runOnce(it, 40) { link = ::FalseNotRunClient }.falseNotRuns } shouldBeGreaterThan 0
         }
     })
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/SamplesTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/SamplesTest.kt
@@ -13,7 +13,7 @@
 class SamplesTest :
     FunSpec({
         for ((folder, names) in mapOf("festival" to festival, "tadla" to tadla)) {
-            test("the sample deployment $folder is the one that the demonstration runs, and passes the check") {
+            test("the sample deployment $folder equals the objects of the demonstration and passes validation") {
                 val file = File(root, "deployments/$folder/objects.ini")
                 if (System.getenv("WRITE_SAMPLES") == "yes") file.writeText(writeObjects(sampleObjects(names).byKey.values))
                 val objects = readObjects(file.readText(), file.name).getOrNull().shouldNotBeNull()
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/ShapeTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/ShapeTest.kt
@@ -5,11 +5,12 @@
 import io.kotest.matchers.ints.shouldBeGreaterThan
 import java.io.File
 
-private val decisions = listOf("model", "control", "traffic")
-private val encodings = listOf("io.grpc", "io.ktor", "kotlinx.serialization", "org.ini4j", "lagoonrudder.wire", "lagoonrudder.daemon")
-private val blocking =
+private val decisionModules = listOf("model", "control", "traffic")
+private val encodingPackages =
+    listOf("io.grpc", "io.ktor", "kotlinx.serialization", "org.ini4j", "lagoonrudder.wire", "lagoonrudder.daemon")
+private val blockingCalls =
     listOf("Thread.sleep", "runBlocking", ".readText()", "CountDownLatch", "synchronized(", "ReentrantLock", ".get(TimeUnit")
-private val upwards =
+private val forbiddenImports =
     mapOf(
         "model" to listOf("lagoonrudder.control", "lagoonrudder.traffic"),
         "control" to listOf("lagoonrudder.traffic"),
@@ -26,26 +27,28 @@
         .toList()
         .also { it.size shouldBeGreaterThan 0 }
 
-private fun lines(
+private fun matchingLines(
     module: String,
-    words: List<String>,
+    patterns: List<String>,
 ): List<String> =
     sources(module).flatMap { file ->
-        file.readLines().filter { line -> words.any { it in line } }.map { "${file.name}: ${it.trim()}" }
+        file.readLines().filter { line -> patterns.any { it in line } }.map { "${file.name}: ${it.trim()}" }
     }
 
 class ShapeTest :
     FunSpec({
-        for (module in decisions) {
-            test("$module knows no encoding, no HTTP and no gRPC") { lines(module, encodings.map { "import $it" }).shouldBeEmpty() }
-            test("nothing in $module blocks a thread") { lines(module, blocking).shouldBeEmpty() }
+        for (module in decisionModules) {
+            test(
+                "$module imports no encoding, HTTP or gRPC library",
+            ) { matchingLines(module, encodingPackages.map { "import $it" }).shouldBeEmpty() }
+            test("$module makes no blocking calls") { matchingLines(module, blockingCalls).shouldBeEmpty() }
         }
 
-        for ((module, forbidden) in upwards) {
-            test("$module depends on nothing above it") { lines(module, forbidden.map { "import $it" }).shouldBeEmpty() }
+        for ((module, forbidden) in forbiddenImports) {
+            test("$module depends on no module above it") { matchingLines(module, forbidden.map { "import $it" }).shouldBeEmpty() }
         }
 
-        test("every identifier of the model is a value class") {
+        test("all identifiers of the model are value classes") {
             val ids = File("../model/src/main/kotlin/lagoonrudder/model/Ids.kt").readLines()
             ids.filter { it.startsWith("class ") || it.startsWith("data class ") }.shouldBeEmpty()
         }
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/WholePathTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/WholePathTest.kt
@@ -11,26 +11,26 @@
 
 class WholePathTest :
     FunSpec({
-        test("a request for text reaches an engine with the right weights and comes back whole") {
+        test("a text request is served completely by an engine with the configured version") {
             site().use { site ->
                 site.start(sampleObjects(festival))
                 site.awaitVersion(VersionId("entry-assistant-1"))
                 val caller = Caller(site.http)
-                val end = caller.text(site.entries().first(), TextCall("/v1/dossier", "token-tirol", "Describe our perry.", 40))
-                end.shouldBeInstanceOf<CallEnd.Whole>().version shouldBe "entry-assistant-1"
+                val reply = caller.text(site.entries().first(), TextCall("/v1/dossier", "token-tirol", "Describe our perry.", 40))
+                reply.shouldBeInstanceOf<Reply.Complete>().version shouldBe "entry-assistant-1"
                 site.violations.shouldBeEmpty()
             }
         }
 
-        test("an order that may run at most once runs once, and its repeat at another entry gets the same answer") {
-            site { build = { repeats = RepeatPolicy(clockSkew = 50.milliseconds) } }.use { site ->
+        test("an order with an idempotency key runs once, and a retry through another entry daemon gets the same response") {
+            site { daemonOptions = { repeats = RepeatPolicy(clockSkew = 50.milliseconds) } }.use { site ->
                 site.start(sampleObjects(festival))
                 site.awaitReady()
                 delay(100.milliseconds)
                 val caller = Caller(site.http)
-                val key = keyIssuedAt(System.currentTimeMillis())
-                val ends = site.entries().map { caller.order(it, "/v1/entry-application", "token-tirol", key, "fee-17") }
-                ends.forEach { it.shouldBeInstanceOf<CallEnd.Whole>() }
+                val key = uuidV7At(System.currentTimeMillis())
+                val replies = site.entries().map { caller.order(it, "/v1/entry-application", "token-tirol", key, "fee-17") }
+                replies.forEach { it.shouldBeInstanceOf<Reply.Complete>() }
                 site.services.values.sumOf { it.runs["fee-17"] ?: 0 } shouldBe 1
                 site.violations.shouldBeEmpty()
             }
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/direct/DirectSiteTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/direct/DirectSiteTest.kt
@@ -7,11 +7,11 @@
 import lagoonrudder.http.HttpResponse
 import kotlin.time.Duration.Companion.seconds
 
-private val WHOLE = (1..WorkerStandIn.EVENTS).joinToString("") { "id: $it\ndata: $it\n\n" }
+private val COMPLETE_BODY = (1..FakeWorker.EVENT_COUNT).joinToString("") { "id: $it\ndata: $it\n\n" }
 
 private val HttpResponse?.text get() = this?.body?.decodeToString()
 
-/** A site of [entries] entry daemons whose back ends all hold version 1. */
+/** Runs [block] on a site with [entries] entry daemons once all back ends have loaded version 1. */
 private fun withSite(
     entries: Int,
     workers: Int,
@@ -19,7 +19,7 @@
 ) = DirectSite(entries, workers).use { site ->
     site.onLoop {
         repeat(workers) { site.register(it) }
-        site.eventually { site.workers.all { it.number == 1L } && (0 until entries).all { site.isReady(it) } }
+        site.eventually { site.workers.all { it.loadedVersion == 1L } && (0 until entries).all { site.isReady(it) } }
         site.eventually { (0 until entries).all { site.request(it)?.head?.status == 200 } }
         site.block()
     }
@@ -28,47 +28,47 @@
 
 class DirectSiteTest :
     FunSpec({
-        test("back ends that hold nothing get whole weights, drawn from the origin about once, and serve") {
+        test("back ends without weights load complete weights, fetch each chunk from the origin once, and serve") {
             withSite(entries = 2, workers = 3) {
-                request().text shouldBe WHOLE
-                origin.draws shouldBe STAND_IN_PIECES
-                workers.none { it.loadedUnsound } shouldBe true
+                request().text shouldBe COMPLETE_BODY
+                origin.chunksServed shouldBe CHUNK_COUNT
+                workers.none { it.loadedInvalidChunks } shouldBe true
             }
         }
 
-        test("a new version reaches every back end inside its bound while requests go on, and a piece that rots is replaced") {
+        test("a new version reaches all back ends within its time limit under load, and a corrupted chunk is replaced") {
             withSite(entries = 2, workers = 3) {
-                workers.first().rot(1)
-                origin.newest = 2
-                store.put("op/version/$STAND_IN_MODEL", "{\"model\":\"$STAND_IN_MODEL\",\"version\":2}")
+                workers.first().corruptStagedChunk(1)
+                origin.latestVersion = 2
+                store.put("op/version/$MODEL_NAME", "{\"model\":\"$MODEL_NAME\",\"version\":2}")
                 eventually(8.seconds) {
-                    request().text shouldBe WHOLE
-                    workers.all { it.number == 2L }
+                    request().text shouldBe COMPLETE_BODY
+                    workers.all { it.loadedVersion == 2L }
                 }
-                workers.none { it.loadedUnsound } shouldBe true
-                origin.draws shouldBe 2 * STAND_IN_PIECES
+                workers.none { it.loadedInvalidChunks } shouldBe true
+                origin.chunksServed shouldBe 2 * CHUNK_COUNT
             }
         }
 
-        test("a stream that breaks off in an event goes on at another back end within the same answer") {
+        test("a stream that is aborted within an event resumes at another back end in the same response") {
             withSite(entries = 1, workers = 2) {
-                workers.first().mood = WorkerMood.BREAKS_OFF
-                repeat(6) { request().text shouldBe WHOLE }
+                workers.first().behavior = WorkerBehavior.ABORTS_MID_EVENT
+                repeat(6) { request().text shouldBe COMPLETE_BODY }
             }
         }
 
-        test("a back end that turns requests away is passed over, and when all do the caller is told when to come back") {
+        test("an overloaded back end is skipped, and when all are overloaded the response has a Retry-After header") {
             withSite(entries = 1, workers = 2) {
-                workers.first().mood = WorkerMood.FULL
-                repeat(4) { request().text shouldBe WHOLE }
-                workers.forEach { it.mood = WorkerMood.FULL }
-                val refused = request().shouldNotBeNull()
-                refused.head.status shouldBe 503
-                refused.head.field("Retry-After").shouldNotBeNull()
+                workers.first().behavior = WorkerBehavior.OVERLOADED
+                repeat(4) { request().text shouldBe COMPLETE_BODY }
+                workers.forEach { it.behavior = WorkerBehavior.OVERLOADED }
+                val rejected = request().shouldNotBeNull()
+                rejected.head.status shouldBe 503
+                rejected.head.field("Retry-After").shouldNotBeNull()
             }
         }
 
-        test("a change of the configuration is in force within its bound, keys and routes") {
+        test("unknown API keys and routes are rejected, and a changed route is active within its time limit") {
             withSite(entries = 2, workers = 1) {
                 request(key = "other").shouldNotBeNull().head.status shouldBe 401
                 request(path = "/none/").shouldNotBeNull().head.status shouldBe 404
@@ -77,30 +77,30 @@
             }
         }
 
-        test("while the store is down requests go on, and a lost history is read again") {
+        test("requests are served while the store is unavailable, and the store is read again after its history was compacted") {
             withSite(entries = 2, workers = 1) {
-                store.down = true
+                store.unavailable = true
                 store.compact()
-                request(1).text shouldBe WHOLE
+                request(1).text shouldBe COMPLETE_BODY
                 publish(revision = 2, prefix = "/new/")
                 store.compact()
-                store.down = false
+                store.unavailable = false
                 eventually(3.seconds) { (0..1).all { request(it, "/new/b")?.head?.status == 200 } }
             }
         }
 
-        test("a back end that leaves gets nothing more within its bound") {
+        test("a removed back end receives no requests after its time limit") {
             withSite(entries = 2, workers = 2) {
                 store.remove("servers/${workers.first().id}")
                 eventually(2.seconds) {
-                    val before = workers.first().ran.size
+                    val before = workers.first().executed.size
                     repeat(4) { request(it % 2) }
-                    workers.first().ran.size == before
+                    workers.first().executed.size == before
                 }
             }
         }
 
-        test("the platform is asked rarely while nothing changes") {
+        test("the store receives few calls while nothing changes") {
             withSite(entries = 2, workers = 2) {
                 val before = store.calls
                 kotlinx.coroutines.delay(2.seconds)
