--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/Demo.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/Demo.kt
@@ -11,11 +11,11 @@
 import kotlinx.coroutines.isActive
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.runBlocking
-import lagoonrudder.control.RepeatPolicy
+import lagoonrudder.control.IdempotencyPolicy
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.ObjectChanges
 import lagoonrudder.model.ObjectSet
-import lagoonrudder.model.Service
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.SystemClock
 import lagoonrudder.model.VersionId
 import java.util.concurrent.ConcurrentHashMap
@@ -30,7 +30,7 @@
 fun main(arguments: Array<String>) {
     allowManyServers()
     val names = if (arguments.firstOrNull() == "tadla") tadla else festival
-    val verdict = runBlocking { Demo(names, site { daemonOptions = { repeats = RepeatPolicy(clockSkew = 200.milliseconds) } }).run() }
+    val verdict = runBlocking { Demo(names, site { daemonOptions = { repeats = IdempotencyPolicy(clockSkew = 200.milliseconds) } }).run() }
     exitProcess(if (verdict) 0 else 1)
 }
 
@@ -146,7 +146,7 @@
         val domain = DomainId(names.domains.last())
         printProgress("taking failure domain ${domain.text} out of service")
         val publishedAt = clock.elapsed()
-        site.publish(withAdminState(objects, domain, Service.OUT))
+        site.publish(withAdminState(objects, domain, AdminState.OUT))
         delay(EVACUATION_LIMIT)
         val startedAtLimit = requestsStartedIn(domain)
         delay(OBSERVATION_TIME)
@@ -226,7 +226,7 @@
 fun withAdminState(
     objects: ObjectSet,
     domain: DomainId,
-    service: Service,
+    service: AdminState,
 ): ObjectSet {
     val changed = objects.domains.getValue(domain).copy(service = service)
     return objects.plus(ObjectChanges(listOf(changed), emptyList()))
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/FakePlatform.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/FakePlatform.kt
@@ -16,7 +16,7 @@
 import lagoonrudder.model.Address
 import lagoonrudder.model.DaemonId
 import lagoonrudder.model.Instance
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.wire.documents.HEAD_KEY
 import lagoonrudder.wire.documents.SealedDocument
 import lagoonrudder.wire.documents.partKey
@@ -37,7 +37,7 @@
     private val values = ConcurrentHashMap<String, MutableStateFlow<Value>>()
     private val instances = LinkedHashMap<DaemonId, Instance>()
     private val server = LoopbackHttpServer(port) { handle(it) }
-    private var sealed = SealedSet.EMPTY
+    private var sealed = ObjectSnapshot.EMPTY
 
     val address: Address get() = server.address
 
@@ -50,7 +50,7 @@
 
     /** Seals [set] as the successor of the last published set and publishes it. */
     @Synchronized
-    fun publish(set: SealedSet) {
+    fun publish(set: ObjectSnapshot) {
         val document =
             seal(set, sealed, "published").getOrNull()
                 ?: error("can't seal revision ${set.revision.number} after revision ${sealed.revision.number}")
@@ -66,7 +66,7 @@
 
     /** The last published set. */
     @Synchronized
-    fun currentSnapshot(): SealedSet = sealed
+    fun currentSnapshot(): ObjectSnapshot = sealed
 
     @Synchronized
     fun addInstance(instance: Instance) {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/Site.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/Site.kt
@@ -10,9 +10,9 @@
 import lagoonrudder.daemon.DaemonAddresses
 import lagoonrudder.daemon.DaemonOptions
 import lagoonrudder.daemon.daemon
-import lagoonrudder.daemon.operators.DaemonView
+import lagoonrudder.daemon.operators.DaemonDiagnostics
 import lagoonrudder.daemon.platform.httpClient
-import lagoonrudder.daemon.settings.DEFAULT_LIMITS
+import lagoonrudder.daemon.settings.DEFAULT_LIMIT_SETTINGS
 import lagoonrudder.daemon.settings.DaemonSettings
 import lagoonrudder.daemon.settings.ListenSettings
 import lagoonrudder.daemon.settings.PlatformSettings
@@ -26,7 +26,7 @@
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.Violation
@@ -66,7 +66,7 @@
     fun publish(objects: ObjectSet): Revision {
         objects.versions.values.forEach { origin.publish(it.id.text, SyntheticWeights(it.id.text, it.bytes, it.chunkBytes)) }
         val revision = Revision(platform.currentSnapshot().revision.number + 1)
-        platform.publish(SealedSet(revision, objects))
+        platform.publish(ObjectSnapshot(revision, objects))
         return revision
     }
 
@@ -139,7 +139,7 @@
     /** Returns the status line of a daemon. */
     suspend fun statusOf(running: RunningDaemon): String {
         val daemon = running.daemon
-        val diagnostics = daemon as DaemonView
+        val diagnostics = daemon as DaemonDiagnostics
         return daemon.core.thread.decide { diagnostics.status() }
     }
 
@@ -176,7 +176,7 @@
             platform = PlatformSettings(platform.address, origin.address),
             seeds = daemons.values.take(SEEDS).map { it.addresses.rpc },
             slot = slot,
-            limits = DEFAULT_LIMITS,
+            limits = DEFAULT_LIMIT_SETTINGS,
         )
     }
 
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/DirectSite.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/DirectSite.kt
@@ -13,16 +13,16 @@
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
 import lagoonrudder.control.direct.PlacementBounds
-import lagoonrudder.control.direct.RepeatBounds
+import lagoonrudder.control.direct.RetryBudgetBounds
 import lagoonrudder.daemon.direct.DirectBounds
 import lagoonrudder.daemon.direct.DirectCore
-import lagoonrudder.daemon.direct.DirectListen
+import lagoonrudder.daemon.direct.DirectListenSettings
 import lagoonrudder.daemon.direct.DirectSettings
-import lagoonrudder.daemon.direct.DirectSlot
+import lagoonrudder.daemon.direct.DirectSlotSettings
 import lagoonrudder.daemon.direct.directDaemon
 import lagoonrudder.http.HttpClient
 import lagoonrudder.http.HttpHandler
-import lagoonrudder.http.HttpLoop
+import lagoonrudder.http.HttpEventLoop
 import lagoonrudder.http.HttpRequest
 import lagoonrudder.http.HttpResponse
 import lagoonrudder.http.HttpServer
@@ -47,7 +47,7 @@
     entries: Int,
     workers: Int,
 ) : AutoCloseable {
-    private val loop = HttpLoop("site")
+    private val loop = HttpEventLoop("site")
     private val scope = CoroutineScope(SupervisorJob() + loop.dispatcher)
     private val clock = SystemClock()
     private val client = HttpClient(loop, clock)
@@ -59,14 +59,14 @@
     private val storeAddress = listen(store)
     private val originAddress = listen(origin)
     private val workerAddresses = this.workers.map { listen(it) }
-    private val entryListens = (1..entries).map { DirectListen(freeAddress(), freeAddress(), freeAddress()) }
+    private val entryListens = (1..entries).map { DirectListenSettings(freeAddress(), freeAddress(), freeAddress()) }
     private var requests = 0
 
     init {
         onLoop { publish(revision = 1) }
         entryListens.forEachIndexed { index, listen -> start(settings("entry-$index", DaemonRole.ENTRY, listen, null)) }
         workerAddresses.forEachIndexed { index, address ->
-            start(settings("target-$index", DaemonRole.TARGET, null, DirectSlot(SERVICE, address)))
+            start(settings("target-$index", DaemonRole.TARGET, null, DirectSlotSettings(SERVICE, address)))
         }
     }
 
@@ -166,8 +166,8 @@
     private fun settings(
         name: String,
         role: DaemonRole,
-        listen: DirectListen?,
-        slot: DirectSlot?,
+        listen: DirectListenSettings?,
+        slot: DirectSlotSettings?,
     ) = DirectSettings(
         name = DaemonId(name),
         role = role,
@@ -179,7 +179,7 @@
         seeds = entryListens.take(1).map { it.peers },
         store = storeAddress,
         slot = slot,
-        bounds = DirectBounds(PlacementBounds(8.seconds, 1.5, 5.0), RepeatBounds(0.2, 10.seconds, 100.0), 2.seconds),
+        bounds = DirectBounds(PlacementBounds(8.seconds, 1.5, 5.0), RetryBudgetBounds(0.2, 10.seconds, 100.0), 2.seconds),
     )
 
     private companion object {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/FakeWorker.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/FakeWorker.kt
@@ -16,7 +16,7 @@
 import kotlinx.serialization.json.putJsonObject
 import lagoonrudder.http.HttpExchange
 import lagoonrudder.http.HttpHandler
-import lagoonrudder.http.HttpHead
+import lagoonrudder.http.HttpResponseHead
 import lagoonrudder.http.HttpRequest
 import lagoonrudder.http.NO_BYTES
 import lagoonrudder.model.HeaderField
@@ -156,7 +156,7 @@
     ) {
         executed += exchange.request
         when (behavior) {
-            WorkerBehavior.RESETS_BEFORE_RESPONSE -> return exchange.breakOff()
+            WorkerBehavior.RESETS_BEFORE_RESPONSE -> return exchange.abort()
             WorkerBehavior.STALLED -> delay(STALL_TIME)
             else -> Unit
         }
@@ -166,12 +166,12 @@
                 HeaderField("Response-Stamp", "stamp-$id"),
                 HeaderField("Weight-Versions", loaded.toString()),
             )
-        exchange.begin(HttpHead(200, fields))
+        exchange.begin(HttpResponseHead(200, fields))
         val first = (exchange.request.field("Last-Event-Id")?.toInt() ?: 0) + 1
         for (event in first..EVENT_COUNT) {
             if (event == EVENT_COUNT / 2 && behavior == WorkerBehavior.ABORTS_MID_EVENT) {
                 exchange.write("id: $event\nda".encodeToByteArray())
-                return exchange.breakOff()
+                return exchange.abort()
             }
             exchange.write("id: $event\ndata: $event\n\n".encodeToByteArray())
             delay(EVENT_INTERVAL)
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/OnceMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/OnceMeasure.kt
@@ -7,8 +7,8 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import lagoonrudder.model.ObjectSet
-import lagoonrudder.model.RepeatKey
-import lagoonrudder.model.Service
+import lagoonrudder.model.IdempotencyKey
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.objectSet
 import lagoonrudder.standins.Reply
@@ -42,7 +42,7 @@
     objectSet {
         domains.forEachIndexed { index, name ->
             region(name, origin = index == 0)
-            domain(name, service = if (name == out) Service.OUT else Service.IN)
+            domain(name, service = if (name == out) AdminState.OUT else AdminState.IN)
         }
         customer("farm")
         plainFleet("ledger")
@@ -110,7 +110,7 @@
     result: OnceResult,
 ) {
     val random = Random(seed * 100_003 + number)
-    val key = RepeatKey(uuidV7At(clock.now().toEpochMilliseconds() - random.nextLong(50), random))
+    val key = IdempotencyKey(uuidV7At(clock.now().toEpochMilliseconds() - random.nextLong(50), random))
     val body = "order-$number"
     val ends = result.tries.getOrPut(body) { mutableListOf() }
     repeat(1 + random.nextInt(MOST_REPEATS)) {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/RandomMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/RandomMeasure.kt
@@ -7,8 +7,8 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import lagoonrudder.model.ObjectSet
-import lagoonrudder.model.RepeatKey
-import lagoonrudder.model.Service
+import lagoonrudder.model.IdempotencyKey
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.objectSet
 import lagoonrudder.standins.EngineTraits
@@ -45,7 +45,7 @@
     objectSet {
         places.forEachIndexed { index, name ->
             region(name, origin = index == 0)
-            domain(name, service = if (name == out) Service.OUT else Service.IN)
+            domain(name, service = if (name == out) AdminState.OUT else AdminState.IN)
         }
         repeat(4) { customer("customer-$it") }
         model("m")
@@ -120,7 +120,7 @@
     val token = "token-customer-${random.nextInt(4)}"
     result.ends +=
         if (random.nextInt(4) == 0) {
-            val key = RepeatKey(uuidV7At(clock.now().toEpochMilliseconds(), random))
+            val key = IdempotencyKey(uuidV7At(clock.now().toEpochMilliseconds(), random))
             sendOrder(entry, "/v1/fees", token, key, "order-$number", 8.seconds)
         } else {
             val pause = if (random.nextInt(20) == 0) random.nextInt(400).milliseconds else Duration.ZERO
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ReaderMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ReaderMeasure.kt
@@ -6,7 +6,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import lagoonrudder.control.LimitPolicy
-import lagoonrudder.control.ReaderMemoryPolicy
+import lagoonrudder.control.ResponseBufferPolicy
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.objectSet
 import lagoonrudder.standins.EngineTraits
@@ -56,10 +56,10 @@
 
 fun measureReaders(options: MeasureOptions): Verdict {
     val seed = options.int("seed", 1)
-    val windowed = ReaderMemoryPolicy.Windowed(window = WINDOW_BYTES, budget = BUDGET_BYTES)
+    val windowed = ResponseBufferPolicy.Windowed(window = WINDOW_BYTES, budget = BUDGET_BYTES)
     val without = observe(0, windowed, seed)
     val bounded = listOf(10, 100, 1_000).associateWith { observe(it, windowed, seed) }
-    val unbounded = observe(1_000, ReaderMemoryPolicy.Unbounded, seed)
+    val unbounded = observe(1_000, ResponseBufferPolicy.Unbounded, seed)
     bounded.forEach { (readers, held) -> println("policy=windowed ${lineOf(readers, held)}") }
     println("policy=unbounded ${lineOf(1_000, unbounded)}")
     val slowdown = bounded.values.maxOf { it.fastP95 / without.fastP95 }
@@ -97,7 +97,7 @@
 
 private fun observe(
     readers: Int,
-    policy: ReaderMemoryPolicy,
+    policy: ResponseBufferPolicy,
     seed: Int,
 ): Held {
     val held = Held()
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/TrafficMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/TrafficMeasure.kt
@@ -5,10 +5,10 @@
 
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import lagoonrudder.control.ChoicePolicy
+import lagoonrudder.control.LoadBalancingPolicy
 import lagoonrudder.control.LimitPolicy
 import lagoonrudder.control.QueuePolicy
-import lagoonrudder.control.ReaderMemoryPolicy
+import lagoonrudder.control.ResponseBufferPolicy
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.objectSet
 import lagoonrudder.standins.EngineTraits
@@ -65,10 +65,10 @@
 private val own = PolicySet("own") { }
 private val baseline =
     PolicySet("baseline") {
-        choice = ChoicePolicy.RoundRobin
+        choice = LoadBalancingPolicy.RoundRobin
         limit = LimitPolicy.Fixed
         queue = QueuePolicy.ArrivalOrder
-        readers = ReaderMemoryPolicy.Unbounded
+        readers = ResponseBufferPolicy.Unbounded
     }
 
 private const val WORKERS = 8
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/WeightSimulation.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/WeightSimulation.kt
@@ -5,12 +5,12 @@
 
 import lagoonrudder.control.ChunkDecision
 import lagoonrudder.control.ChunkSource
-import lagoonrudder.control.DrawDecision
-import lagoonrudder.control.DrawResult
-import lagoonrudder.control.Holder
+import lagoonrudder.control.FetchDecision
+import lagoonrudder.control.FetchResult
+import lagoonrudder.control.WeightHolder
 import lagoonrudder.control.SourcePolicy
-import lagoonrudder.control.WeightBounds
-import lagoonrudder.control.WeightController
+import lagoonrudder.control.WeightFetchLimits
+import lagoonrudder.control.WeightFetchController
 import lagoonrudder.model.ChunkIndex
 import lagoonrudder.model.DaemonId
 import lagoonrudder.model.Digest
@@ -60,8 +60,8 @@
     seed: Int,
 ) {
     private inner class Node(
-        val holder: Holder,
-        val controller: WeightController,
+        val holder: WeightHolder,
+        val controller: WeightFetchController,
     ) {
         val up = Link(rates.instance)
         val down = Link(rates.instance)
@@ -135,10 +135,10 @@
         if (!node.alive) return
         while (true) {
             when (val decision = node.controller.next(time())) {
-                is DrawDecision.Draw -> draw(node, decision)
-                is DrawDecision.Wait -> return pollLater(node, decision.until.toDouble(DurationUnit.SECONDS))
-                DrawDecision.Busy -> return
-                DrawDecision.Complete -> {
+                is FetchDecision.Fetch -> draw(node, decision)
+                is FetchDecision.Wait -> return pollLater(node, decision.until.toDouble(DurationUnit.SECONDS))
+                FetchDecision.Busy -> return
+                FetchDecision.Complete -> {
                     if (node.readyAt.isNaN()) node.readyAt = now
                     return
                 }
@@ -158,13 +158,13 @@
 
     private fun draw(
         node: Node,
-        decision: DrawDecision.Draw,
+        decision: FetchDecision.Fetch,
     ) {
         when (val source = decision.source) {
             ChunkSource.Origin -> transfer(node, decision, null)
             is ChunkSource.Peer -> {
                 val from = nodes.getValue(source.holder.daemon)
-                if (!from.alive || isCut(node, from)) return endLater(node, decision, now + FAILURE_SECONDS) { DrawResult.Failed }
+                if (!from.alive || isCut(node, from)) return endLater(node, decision, now + FAILURE_SECONDS) { FetchResult.Failed }
                 if (from.has[decision.chunk.number]) transfer(node, decision, from) else await(node, decision, from)
             }
         }
@@ -172,7 +172,7 @@
 
     private fun await(
         node: Node,
-        decision: DrawDecision.Draw,
+        decision: FetchDecision.Fetch,
         from: Node,
     ) {
         val waiter = Waiter({ transfer(node, decision, from) })
@@ -180,14 +180,14 @@
         at(now + PEER_WAIT_SECONDS) {
             if (waiter.open) {
                 waiter.open = false
-                end(node, decision, if (from.alive) DrawResult.NotYet else DrawResult.Failed)
+                end(node, decision, if (from.alive) FetchResult.NotYet else FetchResult.Failed)
             }
         }
     }
 
     private fun transfer(
         node: Node,
-        decision: DrawDecision.Draw,
+        decision: FetchDecision.Fetch,
         from: Node?,
     ) {
         val sourceLink = from?.up ?: originLink
@@ -201,32 +201,32 @@
             if (from != null &&
                 (!from.alive || isCut(node, from))
             ) {
-                DrawResult.Failed
+                FetchResult.Failed
             } else {
                 arrived(decision.chunk)
             }
         }
     }
 
-    private fun arrived(chunk: ChunkIndex): DrawResult {
+    private fun arrived(chunk: ChunkIndex): FetchResult {
         val corrupted = random.nextDouble() < faults.corrupted
-        return DrawResult.Arrived(if (corrupted) wrong else digests[chunk.number], good[chunk.number])
+        return FetchResult.Received(if (corrupted) wrong else digests[chunk.number], good[chunk.number])
     }
 
     private fun endLater(
         node: Node,
-        decision: DrawDecision.Draw,
+        decision: FetchDecision.Fetch,
         time: Double,
-        result: () -> DrawResult,
+        result: () -> FetchResult,
     ) = at(time) { end(node, decision, result()) }
 
     private fun end(
         node: Node,
-        decision: DrawDecision.Draw,
-        result: DrawResult,
+        decision: FetchDecision.Fetch,
+        result: FetchResult,
     ) {
         if (!node.alive) return
-        val judged = node.controller.ended(decision.version, decision.chunk, decision.source, result, time())
+        val judged = node.controller.onFetchEnded(decision.version, decision.chunk, decision.source, result, time())
         if (judged is ChunkDecision.Keep) keep(node, decision.chunk, result)
         poll(node)
     }
@@ -234,9 +234,9 @@
     private fun keep(
         node: Node,
         chunk: ChunkIndex,
-        result: DrawResult,
+        result: FetchResult,
     ) {
-        if (result is DrawResult.Arrived && result.digest == wrong) damagedKept++
+        if (result is FetchResult.Received && result.digest == wrong) damagedKept++
         node.has[chunk.number] = true
         node.waiters.remove(chunk.number)?.filter { it.open }?.forEach {
             it.open = false
@@ -274,12 +274,12 @@
         val holders =
             (0 until replicas).map {
                 val domain = DomainId("d${it % domains}")
-                Holder(DaemonId("replica-$it"), domain, checkNotNull(objects.regionOf(domain)))
+                WeightHolder(DaemonId("replica-$it"), domain, checkNotNull(objects.regionOf(domain)))
             }
         return holders.map { holder ->
-            val controller = WeightController(holder, policy, WeightBounds(), invariants)
+            val controller = WeightFetchController(holder, policy, WeightFetchLimits(), invariants)
             controller.configure(objects)
-            controller.want(objects.versions.getValue(VersionId("m-1")), digests, holders)
+            controller.startFetch(objects.versions.getValue(VersionId("m-1")), digests, holders)
             Node(holder, controller)
         }
     }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualBackEnd.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualBackEnd.kt
@@ -14,7 +14,7 @@
 import lagoonrudder.control.EngineRole
 import lagoonrudder.control.EngineState
 import lagoonrudder.control.OrderResult
-import lagoonrudder.control.RecordedAnswer
+import lagoonrudder.control.RecordedResponse
 import lagoonrudder.model.ChunkIndex
 import lagoonrudder.model.Clock
 import lagoonrudder.model.Failure
@@ -30,7 +30,7 @@
 import lagoonrudder.standins.TOKEN_LENGTH
 import lagoonrudder.standins.tokenAt
 import lagoonrudder.traffic.Work
-import lagoonrudder.traffic.target.BackEnd
+import lagoonrudder.traffic.target.LocalBackEnd
 import lagoonrudder.traffic.target.EngineEvent
 import lagoonrudder.traffic.target.GenerateRequest
 import java.util.zip.CRC32C
@@ -42,7 +42,7 @@
     private val traits: EngineTraits,
     private val clock: Clock,
     private var version: VersionId?,
-) : BackEnd {
+) : LocalBackEnd {
     private val load = EngineLoad(traits)
     private var startedAt = -traits.warmUp
     private var downUntil = -Duration.INFINITE
@@ -92,7 +92,7 @@
         work: Work.Plain,
         request: RequestId,
         limit: Duration,
-    ): Either<Failure, RecordedAnswer> {
+    ): Either<Failure, RecordedResponse> {
         if (clock.elapsed() < downUntil) return Failure.Unreachable(Step.RUN, PEER, "down").left()
         val body = work.body.decodeToString()
         runs.merge(body, 1, Int::plus)
@@ -101,7 +101,7 @@
             losesNextAnswer = false
             return Failure.Interrupted(Step.RUN, PEER, "the answer was lost").left()
         }
-        return RecordedAnswer(OK, "text/plain", "done $body".encodeToByteArray()).right()
+        return RecordedResponse(OK, "text/plain", "done $body".encodeToByteArray()).right()
     }
 
     override suspend fun state(limit: Duration): Either<Failure, EngineState> =
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualCaller.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualCaller.kt
@@ -7,12 +7,12 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import lagoonrudder.model.Failure
 import lagoonrudder.model.Outcome
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.VersionId
 import lagoonrudder.standins.Reply
 import lagoonrudder.standins.TextCall
 import lagoonrudder.standins.expectedText
-import lagoonrudder.traffic.entry.AnswerSink
+import lagoonrudder.traffic.entry.ResponseSink
 import lagoonrudder.traffic.entry.CallerRequest
 import kotlin.time.Duration
 
@@ -20,7 +20,7 @@
 class VirtualSink(
     private val clock: VirtualClock,
     private val readDelay: Duration,
-) : AnswerSink {
+) : ResponseSink {
     private val bytes = StringBuilder()
     val times = mutableListOf<Duration>()
     var version: VersionId? = null
@@ -80,7 +80,7 @@
     entry: VirtualEntry,
     path: String,
     token: String,
-    key: RepeatKey,
+    key: IdempotencyKey,
     body: String,
     limit: Duration,
 ): Reply {
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/ProcessTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/ProcessTest.kt
@@ -17,7 +17,7 @@
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.Instance
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.objectSet
 import java.io.File
@@ -54,7 +54,7 @@
     val proxy = FaultProxy { Address(LOOPBACK, targetPorts.getValue("a")) }
 
     init {
-        platform.publish(SealedSet(Revision(1), objects))
+        platform.publish(ObjectSnapshot(Revision(1), objects))
         engines.keys.forEach(::startTarget)
         startEntry()
     }
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/RandomRunsTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/RandomRunsTest.kt
@@ -9,7 +9,7 @@
 import io.kotest.matchers.shouldBe
 import kotlinx.coroutines.flow.Flow
 import kotlinx.coroutines.flow.map
-import lagoonrudder.control.RepeatDecision
+import lagoonrudder.control.IdempotencyDecision
 import lagoonrudder.model.Failure
 import lagoonrudder.model.Instance
 import lagoonrudder.standins.measure.runOnce
@@ -17,7 +17,7 @@
 import lagoonrudder.traffic.ReserveRequest
 import lagoonrudder.traffic.RunEvent
 import lagoonrudder.traffic.RunRequest
-import lagoonrudder.traffic.TargetLink
+import lagoonrudder.traffic.TargetClient
 import lagoonrudder.traffic.checksumOf
 import kotlin.time.Duration
 
@@ -26,12 +26,12 @@
 
 /** Forwards to [client]; the base class of deliberately defective clients. */
 private open class ForwardingClient(
-    private val client: TargetLink,
-) : TargetLink by client
+    private val client: TargetClient,
+) : TargetClient by client
 
 /** A defect: recomputes the checksum of each chunk from the received data and accepts the end marker as it is. */
 private class UnverifiedClient(
-    private val client: TargetLink,
+    private val client: TargetClient,
 ) : ForwardingClient(client) {
     override fun run(
         target: Instance,
@@ -48,7 +48,7 @@
 
 /** A defect: reports a failed exchange that may have run as one that never reached the target. */
 private class FalseNotRunClient(
-    private val client: TargetLink,
+    private val client: TargetClient,
 ) : ForwardingClient(client) {
     override fun run(
         target: Instance,
@@ -60,8 +60,8 @@
         target: Instance,
         request: ReserveRequest,
         limit: Duration,
-    ): Either<Failure, RepeatDecision> =
-        client.reserve(target, request, limit).fold({ RepeatDecision.Uncertain(it.detail).right() }, { it.right() })
+    ): Either<Failure, IdempotencyDecision> =
+        client.reserve(target, request, limit).fold({ IdempotencyDecision.Uncertain(it.detail).right() }, { it.right() })
 }
 
 class RandomRunsTest :
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/WholePathTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/WholePathTest.kt
@@ -5,7 +5,7 @@
 import io.kotest.matchers.shouldBe
 import io.kotest.matchers.types.shouldBeInstanceOf
 import kotlinx.coroutines.delay
-import lagoonrudder.control.RepeatPolicy
+import lagoonrudder.control.IdempotencyPolicy
 import lagoonrudder.model.VersionId
 import kotlin.time.Duration.Companion.milliseconds
 
@@ -23,7 +23,7 @@
         }
 
         test("an order with an idempotency key runs once, and a retry through another entry daemon gets the same response") {
-            site { daemonOptions = { repeats = RepeatPolicy(clockSkew = 50.milliseconds) } }.use { site ->
+            site { daemonOptions = { repeats = IdempotencyPolicy(clockSkew = 50.milliseconds) } }.use { site ->
                 site.start(sampleObjects(festival))
                 site.awaitReady()
                 delay(100.milliseconds)
