--- a/control/src/main/kotlin/lagoonrudder/control/CheckedSet.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/CheckedSet.kt
@@ -11,9 +11,9 @@
 import arrow.core.left
 import arrow.core.right
 import lagoonrudder.model.Failure
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Peer
 import lagoonrudder.model.SnapshotDelta
-import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Step
 import lagoonrudder.model.changesBetween
 import lagoonrudder.model.checkObjects
--- a/control/src/main/kotlin/lagoonrudder/control/ConfigurationController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/ConfigurationController.kt
@@ -11,9 +11,9 @@
 import lagoonrudder.model.Digest
 import lagoonrudder.model.Invariant
 import lagoonrudder.model.Invariants
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Revision
 import lagoonrudder.model.SnapshotDelta
-import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Step
 import kotlin.time.Duration
 
--- a/control/src/main/kotlin/lagoonrudder/control/IdempotencyController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/IdempotencyController.kt
@@ -10,12 +10,12 @@
 package lagoonrudder.control
 
 import lagoonrudder.model.Digest
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Invariant
 import lagoonrudder.model.Invariants
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.rendezvousFirst
--- a/control/src/main/kotlin/lagoonrudder/control/ServingController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/ServingController.kt
@@ -7,10 +7,10 @@
 package lagoonrudder.control
 
 import kotlinx.coroutines.CompletableDeferred
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.AdminState
 import lagoonrudder.model.TargetId
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -76,7 +76,11 @@
         when {
             shuttingDown -> ServingState.Unavailable("leaving", SHORT_RETRY_AFTER)
             !confirmed -> ServingState.Unavailable("configuration not yet confirmed", LONG_RETRY_AFTER)
-            objects.domains[domain]?.service == AdminState.OUT -> ServingState.Unavailable("failure domain out of service", SHORT_RETRY_AFTER)
+            objects.domains[domain]?.service == AdminState.OUT ->
+                ServingState.Unavailable(
+                    "failure domain out of service",
+                    SHORT_RETRY_AFTER,
+                )
             target != null && objects.targets[target]?.service != AdminState.IN ->
                 ServingState.Unavailable(
                     "target out of service",
--- a/control/src/main/kotlin/lagoonrudder/control/direct/StoreViewController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/StoreViewController.kt
@@ -14,9 +14,9 @@
 import lagoonrudder.model.Invariant
 import lagoonrudder.model.Invariants
 import lagoonrudder.model.ModelId
-import lagoonrudder.model.StoreRecord
 import lagoonrudder.model.ServingConfiguration
 import lagoonrudder.model.Step
+import lagoonrudder.model.StoreRecord
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.WeightNumber
 import kotlin.time.Duration
--- a/control/src/test/kotlin/lagoonrudder/control/ConfigurationControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/ConfigurationControllerTest.kt
@@ -5,8 +5,8 @@
 import io.kotest.matchers.shouldBe
 import io.kotest.matchers.types.shouldBeInstanceOf
 import lagoonrudder.model.ObjectSet
-import lagoonrudder.model.Revision
 import lagoonrudder.model.ObjectSnapshot
+import lagoonrudder.model.Revision
 import lagoonrudder.model.objectSet
 import kotlin.random.Random
 import kotlin.time.Duration
--- a/control/src/test/kotlin/lagoonrudder/control/RoutingControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/RoutingControllerTest.kt
@@ -4,11 +4,11 @@
 import io.kotest.matchers.shouldBe
 import io.kotest.matchers.shouldNotBe
 import io.kotest.matchers.types.shouldBeInstanceOf
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.FleetId
 import lagoonrudder.model.IncarnationId
 import lagoonrudder.model.ObjectSet
-import lagoonrudder.model.AdminState
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.objectSet
--- a/control/src/test/kotlin/lagoonrudder/control/direct/PlacementControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/direct/PlacementControllerTest.kt
@@ -12,9 +12,9 @@
 import lagoonrudder.model.CustomerId
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.HeldWeights
-import lagoonrudder.model.StoreRecord
 import lagoonrudder.model.Refusal
 import lagoonrudder.model.RegionId
+import lagoonrudder.model.StoreRecord
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.WeightNumber
 import kotlin.random.Random
--- a/control/src/test/kotlin/lagoonrudder/control/direct/SharesTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/direct/SharesTest.kt
@@ -11,8 +11,8 @@
 import lagoonrudder.control.strictInvariants
 import lagoonrudder.model.Address
 import lagoonrudder.model.HeldWeights
-import lagoonrudder.model.StoreRecord
 import lagoonrudder.model.RequestKind
+import lagoonrudder.model.StoreRecord
 import lagoonrudder.model.WeightNumber
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
@@ -177,7 +177,11 @@
             val first = WeightNumber(2)
             declare(storeView, 2)
             val before = storeView.backEnds.map { staging.scheduledSwitch(ENGINES, it.address, report(1), first).shouldNotBeNull().at }
-            storeView.applyChanges(listOf(item("op/version/model", 23, StoreRecord.VersionDeclaration(MODEL, WeightNumber(3)))), 23, 12.seconds)
+            storeView.applyChanges(
+                listOf(item("op/version/model", 23, StoreRecord.VersionDeclaration(MODEL, WeightNumber(3)))),
+                23,
+                12.seconds,
+            )
             storeView.backEnds.map { staging.scheduledSwitch(ENGINES, it.address, report(1), first).shouldNotBeNull().at } shouldBe before
         }
 
--- a/control/src/test/kotlin/lagoonrudder/control/direct/StoreViewControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/direct/StoreViewControllerTest.kt
@@ -68,7 +68,11 @@
         test("a declared version never decreases") {
             val storeView = StoreViewController(strictInvariants())
             storeView.applyChanges(listOf(item("op/version/model", 3, StoreRecord.VersionDeclaration(MODEL, WeightNumber(2)))), 3, start)
-            storeView.applyChanges(listOf(item("op/version/model", 4, StoreRecord.VersionDeclaration(MODEL, WeightNumber(1)))), 4, start + 1.seconds)
+            storeView.applyChanges(
+                listOf(item("op/version/model", 4, StoreRecord.VersionDeclaration(MODEL, WeightNumber(1)))),
+                4,
+                start + 1.seconds,
+            )
             storeView.declared(MODEL).shouldNotBeNull().number shouldBe WeightNumber(2)
         }
 
@@ -80,7 +84,8 @@
 
         test("a failure domain is no longer evacuated after its item is removed") {
             val storeView = StoreViewController(strictInvariants())
-            storeView.applyChanges(listOf(item("op/evacuate/near", 3, StoreRecord.DomainEvacuation(NEAR))), 3, start).evacuated shouldBe setOf(NEAR)
+            storeView.applyChanges(listOf(item("op/evacuate/near", 3, StoreRecord.DomainEvacuation(NEAR))), 3, start).evacuated shouldBe
+                setOf(NEAR)
             storeView.applyChanges(listOf(item("op/evacuate/near", 4, null)), 4, start).evacuated shouldBe emptySet()
         }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/DaemonCore.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/DaemonCore.kt
@@ -12,9 +12,9 @@
 import kotlinx.coroutines.cancel
 import lagoonrudder.control.ConfigurationController
 import lagoonrudder.control.ControlThread
+import lagoonrudder.control.DisseminationController
 import lagoonrudder.control.MembershipController
 import lagoonrudder.control.ServingController
-import lagoonrudder.control.DisseminationController
 import lagoonrudder.daemon.observe.DaemonMetrics
 import lagoonrudder.daemon.observe.EventLog
 import lagoonrudder.daemon.platform.ConfigurationService
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/DaemonOptions.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/DaemonOptions.kt
@@ -4,13 +4,13 @@
 package lagoonrudder.daemon
 
 import io.ktor.client.HttpClient
-import lagoonrudder.control.LoadBalancingPolicy
+import lagoonrudder.control.DisseminationPolicy
+import lagoonrudder.control.IdempotencyPolicy
 import lagoonrudder.control.LimitPolicy
+import lagoonrudder.control.LoadBalancingPolicy
 import lagoonrudder.control.QueuePolicy
 import lagoonrudder.control.ResponseBufferPolicy
-import lagoonrudder.control.IdempotencyPolicy
 import lagoonrudder.control.SourcePolicy
-import lagoonrudder.control.DisseminationPolicy
 import lagoonrudder.model.Clock
 import lagoonrudder.model.SystemClock
 import lagoonrudder.model.Violation
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/backend/HttpBackEnd.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/backend/HttpBackEnd.kt
@@ -53,9 +53,9 @@
 import lagoonrudder.model.Step
 import lagoonrudder.model.VersionId
 import lagoonrudder.traffic.Work
-import lagoonrudder.traffic.target.LocalBackEnd
 import lagoonrudder.traffic.target.EngineEvent
 import lagoonrudder.traffic.target.GenerateRequest
+import lagoonrudder.traffic.target.LocalBackEnd
 import kotlin.time.Duration
 
 class HttpBackEnd(
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationSyncLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationSyncLoop.kt
@@ -22,11 +22,11 @@
 import lagoonrudder.model.Digest
 import lagoonrudder.model.Failure
 import lagoonrudder.model.Instance
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Revision
 import lagoonrudder.model.SnapshotDelta
-import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.wire.documents.SealedHead
 import lagoonrudder.wire.documents.readHead
 import lagoonrudder.wire.documents.readParts
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/ChunkCache.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/ChunkCache.kt
@@ -15,8 +15,8 @@
 import kotlinx.coroutines.sync.Semaphore
 import kotlinx.coroutines.sync.withPermit
 import lagoonrudder.control.direct.DeclaredWeights
-import lagoonrudder.control.direct.WeightSource
 import lagoonrudder.control.direct.WeightManifest
+import lagoonrudder.control.direct.WeightSource
 import lagoonrudder.model.Failure
 import lagoonrudder.model.ModelId
 import lagoonrudder.model.WeightNumber
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectCore.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectCore.kt
@@ -9,12 +9,12 @@
 import kotlinx.coroutines.SupervisorJob
 import lagoonrudder.control.ControlThread
 import lagoonrudder.control.DumpSection
+import lagoonrudder.control.direct.BackEndStateController
 import lagoonrudder.control.direct.PeerController
 import lagoonrudder.control.direct.PeerDaemon
+import lagoonrudder.control.direct.StagingController
 import lagoonrudder.control.direct.StoreViewChange
 import lagoonrudder.control.direct.StoreViewController
-import lagoonrudder.control.direct.BackEndStateController
-import lagoonrudder.control.direct.StagingController
 import lagoonrudder.control.direct.SwitchSchedule
 import lagoonrudder.daemon.observe.DaemonMetrics
 import lagoonrudder.daemon.observe.EventLog
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntryDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntryDaemon.kt
@@ -9,8 +9,8 @@
 import kotlinx.coroutines.launch
 import lagoonrudder.control.direct.DeclaredWeights
 import lagoonrudder.control.direct.PlacementController
-import lagoonrudder.control.direct.Topology
 import lagoonrudder.control.direct.RetryBudgetShare
+import lagoonrudder.control.direct.Topology
 import lagoonrudder.http.HttpServer
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.TargetId
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/GossipLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/GossipLoop.kt
@@ -19,11 +19,11 @@
 import lagoonrudder.wire.messages.GossipMessage
 import lagoonrudder.wire.messages.GossipReply
 import lagoonrudder.wire.messages.toItem
+import lagoonrudder.wire.messages.toLivePeer
 import lagoonrudder.wire.messages.toLoads
 import lagoonrudder.wire.messages.toMessage
 import lagoonrudder.wire.messages.toMessages
 import lagoonrudder.wire.messages.toPeer
-import lagoonrudder.wire.messages.toLivePeer
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerClient.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerClient.kt
@@ -19,10 +19,10 @@
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Step
 import lagoonrudder.model.WeightNumber
-import lagoonrudder.wire.messages.MalformedMessage
-import lagoonrudder.wire.messages.ManifestMessage
 import lagoonrudder.wire.messages.GossipMessage
 import lagoonrudder.wire.messages.GossipReply
+import lagoonrudder.wire.messages.MalformedMessage
+import lagoonrudder.wire.messages.ManifestMessage
 import lagoonrudder.wire.messages.decodeMessage
 import lagoonrudder.wire.messages.encodeMessage
 import lagoonrudder.wire.messages.toManifest
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerEndpoint.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerEndpoint.kt
@@ -11,10 +11,10 @@
 import lagoonrudder.model.ModelId
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.WeightNumber
-import lagoonrudder.wire.messages.MalformedMessage
-import lagoonrudder.wire.messages.ManifestMessage
 import lagoonrudder.wire.messages.GossipMessage
 import lagoonrudder.wire.messages.GossipReply
+import lagoonrudder.wire.messages.MalformedMessage
+import lagoonrudder.wire.messages.ManifestMessage
 import lagoonrudder.wire.messages.decodeMessage
 import lagoonrudder.wire.messages.encodeMessage
 import lagoonrudder.wire.messages.toLoads
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StagingLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StagingLoop.kt
@@ -18,10 +18,10 @@
 import lagoonrudder.control.direct.BackEndReport
 import lagoonrudder.control.direct.Handover
 import lagoonrudder.control.direct.OrderResponse
-import lagoonrudder.control.direct.SlotWord
 import lagoonrudder.control.direct.ScheduledSwitch
-import lagoonrudder.control.direct.WeightsToLoad
+import lagoonrudder.control.direct.SlotWord
 import lagoonrudder.control.direct.WeightManifest
+import lagoonrudder.control.direct.WeightsToLoad
 import lagoonrudder.model.WeightNumber
 import lagoonrudder.model.digestOf
 import lagoonrudder.platform.SlotClient
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/WeightFetcher.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/WeightFetcher.kt
@@ -8,8 +8,8 @@
 import arrow.core.flatMap
 import arrow.core.left
 import arrow.core.right
-import lagoonrudder.control.direct.WeightSource
 import lagoonrudder.control.direct.WeightManifest
+import lagoonrudder.control.direct.WeightSource
 import lagoonrudder.model.Failure
 import lagoonrudder.model.ModelId
 import lagoonrudder.model.Peer
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/front/CallerServer.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/front/CallerServer.kt
@@ -37,11 +37,11 @@
 import lagoonrudder.daemon.startOn
 import lagoonrudder.model.Address
 import lagoonrudder.model.Failure
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Step
 import lagoonrudder.traffic.FilterChain
 import lagoonrudder.traffic.entry.CallerRequest
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/front/HttpResponseSink.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/front/HttpResponseSink.kt
@@ -9,8 +9,8 @@
 import kotlinx.coroutines.CompletableDeferred
 import lagoonrudder.model.Failure
 import lagoonrudder.model.VersionId
-import lagoonrudder.traffic.entry.ResponseSink
 import lagoonrudder.traffic.entry.CallerDisconnected
+import lagoonrudder.traffic.entry.ResponseSink
 import java.io.IOException
 import java.nio.ByteBuffer
 import java.nio.CharBuffer
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
@@ -6,12 +6,12 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.isActive
 import kotlinx.coroutines.launch
-import lagoonrudder.control.DumpSection
-import lagoonrudder.control.WeightHolder
 import lagoonrudder.control.ConcurrencyLimitController
+import lagoonrudder.control.DumpSection
 import lagoonrudder.control.IdempotencyController
 import lagoonrudder.control.VersionSwitchController
 import lagoonrudder.control.WeightFetchController
+import lagoonrudder.control.WeightHolder
 import lagoonrudder.daemon.Daemon
 import lagoonrudder.daemon.DaemonAddresses
 import lagoonrudder.daemon.DaemonCore
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/VersionSwitchLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/VersionSwitchLoop.kt
@@ -10,9 +10,9 @@
 import lagoonrudder.control.EngineOrder
 import lagoonrudder.control.EngineState
 import lagoonrudder.control.OrderResult
-import lagoonrudder.control.VersionSwitchController
 import lagoonrudder.control.SwitchStatus
 import lagoonrudder.control.SwitchStep
+import lagoonrudder.control.VersionSwitchController
 import lagoonrudder.daemon.DaemonCore
 import lagoonrudder.model.IncarnationId
 import lagoonrudder.model.TargetId
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/WeightDistributionLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/WeightDistributionLoop.kt
@@ -13,9 +13,9 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import lagoonrudder.control.ChunkDecision
 import lagoonrudder.control.ChunkSource
+import lagoonrudder.control.ChunkSourcePlan
 import lagoonrudder.control.FetchDecision
 import lagoonrudder.control.FetchResult
-import lagoonrudder.control.ChunkSourcePlan
 import lagoonrudder.daemon.ChunkService
 import lagoonrudder.daemon.DaemonCore
 import lagoonrudder.daemon.platform.WeightOrigin
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/Demo.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/Demo.kt
@@ -12,10 +12,10 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.runBlocking
 import lagoonrudder.control.IdempotencyPolicy
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.ObjectChanges
 import lagoonrudder.model.ObjectSet
-import lagoonrudder.model.AdminState
 import lagoonrudder.model.SystemClock
 import lagoonrudder.model.VersionId
 import java.util.concurrent.ConcurrentHashMap
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/Site.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/Site.kt
@@ -24,9 +24,9 @@
 import lagoonrudder.model.FleetKind
 import lagoonrudder.model.Instance
 import lagoonrudder.model.ObjectSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Revision
-import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.Violation
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/DirectSite.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/DirectSite.kt
@@ -21,8 +21,8 @@
 import lagoonrudder.daemon.direct.DirectSlotSettings
 import lagoonrudder.daemon.direct.directDaemon
 import lagoonrudder.http.HttpClient
-import lagoonrudder.http.HttpHandler
 import lagoonrudder.http.HttpEventLoop
+import lagoonrudder.http.HttpHandler
 import lagoonrudder.http.HttpRequest
 import lagoonrudder.http.HttpResponse
 import lagoonrudder.http.HttpServer
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/FakeWorker.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/FakeWorker.kt
@@ -16,8 +16,8 @@
 import kotlinx.serialization.json.putJsonObject
 import lagoonrudder.http.HttpExchange
 import lagoonrudder.http.HttpHandler
-import lagoonrudder.http.HttpResponseHead
 import lagoonrudder.http.HttpRequest
+import lagoonrudder.http.HttpResponseHead
 import lagoonrudder.http.NO_BYTES
 import lagoonrudder.model.HeaderField
 import lagoonrudder.model.digestOf
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/ProcessTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/ProcessTest.kt
@@ -16,8 +16,8 @@
 import lagoonrudder.model.DaemonRole
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.Instance
-import lagoonrudder.model.Revision
 import lagoonrudder.model.ObjectSnapshot
+import lagoonrudder.model.Revision
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.objectSet
 import java.io.File
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectFilters.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectFilters.kt
@@ -8,9 +8,9 @@
 import lagoonrudder.model.Peer
 import lagoonrudder.model.Refusal
 import lagoonrudder.model.ServiceId
+import lagoonrudder.model.ServingConfiguration
 import lagoonrudder.model.ServingCustomer
 import lagoonrudder.model.ServingRoute
-import lagoonrudder.model.ServingConfiguration
 import lagoonrudder.model.Step
 import lagoonrudder.traffic.Filter
 import lagoonrudder.traffic.Next
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AdmissionFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AdmissionFilter.kt
@@ -8,16 +8,16 @@
 import kotlinx.coroutines.NonCancellable
 import kotlinx.coroutines.withContext
 import lagoonrudder.control.DispatchResult
-import lagoonrudder.control.RoutingRequest
 import lagoonrudder.control.QueueKey
 import lagoonrudder.control.QueuedRequest
+import lagoonrudder.control.RoutingRequest
 import lagoonrudder.control.keyOwners
 import lagoonrudder.control.ownerOf
 import lagoonrudder.control.prefixOf
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.Peer
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.traffic.Filter
@@ -100,8 +100,8 @@
         if (dispatched == null) {
             withContext(NonCancellable) {
                 control.thread.decide {
-                    val completed = if (pending.isCompleted) pending.getCompletedOrNull() else null
-                    if (completed is DispatchResult.Sent) control.ended(ticket, completed.target, failed = false) else control.withdraw(ticket)
+                    val result = if (pending.isCompleted) pending.getCompletedOrNull() else null
+                    if (result is DispatchResult.Sent) control.ended(ticket, result.target, failed = false) else control.withdraw(ticket)
                 }
             }
         }
@@ -109,4 +109,5 @@
 }
 
 @OptIn(ExperimentalCoroutinesApi::class)
-private fun Deferred<DispatchResult>.getCompletedOrNull(): DispatchResult? = if (getCompletionExceptionOrNull() == null) getCompleted() else null
+private fun Deferred<DispatchResult>.getCompletedOrNull(): DispatchResult? =
+    if (getCompletionExceptionOrNull() == null) getCompleted() else null
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryCall.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryCall.kt
@@ -4,11 +4,11 @@
 package lagoonrudder.traffic.entry
 
 import lagoonrudder.control.DispatchResult
-import lagoonrudder.control.RoutingRequest
 import lagoonrudder.control.QueuedRequest
+import lagoonrudder.control.RoutingRequest
 import lagoonrudder.model.Failure
-import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.IdempotencyKey
+import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
 import lagoonrudder.model.VersionId
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryControl.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryControl.kt
@@ -7,19 +7,19 @@
 
 import kotlinx.coroutines.CompletableDeferred
 import lagoonrudder.control.AdmissionController
+import lagoonrudder.control.BufferDecision
 import lagoonrudder.control.ConfigurationController
 import lagoonrudder.control.ControlThread
 import lagoonrudder.control.DispatchController
 import lagoonrudder.control.DispatchResult
 import lagoonrudder.control.DumpSection
-import lagoonrudder.control.BufferDecision
 import lagoonrudder.control.MembershipController
 import lagoonrudder.control.QueueDecision
 import lagoonrudder.control.ResponseBufferController
 import lagoonrudder.control.RetryBudget
-import lagoonrudder.control.TargetLoad
 import lagoonrudder.control.RoutingController
 import lagoonrudder.control.ServingController
+import lagoonrudder.control.TargetLoad
 import lagoonrudder.control.TargetReport
 import lagoonrudder.control.dumpSection
 import lagoonrudder.control.entry
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdentifyFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdentifyFilter.kt
@@ -12,12 +12,12 @@
 import lagoonrudder.control.refusal
 import lagoonrudder.model.Clock
 import lagoonrudder.model.FleetKind
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.Peer
 import lagoonrudder.model.Refusal
 import lagoonrudder.model.RequestId
-import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Step
 import lagoonrudder.traffic.Filter
 import lagoonrudder.traffic.Next
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/SendFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/SendFilter.kt
@@ -21,17 +21,17 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withContext
 import lagoonrudder.control.DispatchResult
-import lagoonrudder.control.RecordedResponse
 import lagoonrudder.control.IdempotencyDecision
+import lagoonrudder.control.RecordedResponse
 import lagoonrudder.control.TargetLoad
 import lagoonrudder.model.Clock
 import lagoonrudder.model.Failure
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Instance
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.digestOf
@@ -238,7 +238,10 @@
             is IdempotencyDecision.Permitted -> attemptRun(instance, RunPermit(key, decision.permit))
             is IdempotencyDecision.Refused -> AttemptResult.Rejected(decision.refusal, peer, null)
             is IdempotencyDecision.Uncertain -> unknown(Failure.Declined(Step.GUARD_REPEATS, peer, decision.detail))
-            is IdempotencyDecision.QueryPreviousOwners -> unknown(Failure.Damaged(Step.GUARD_REPEATS, peer, "decision is not valid for entry daemons"))
+            is IdempotencyDecision.QueryPreviousOwners ->
+                unknown(
+                    Failure.Damaged(Step.GUARD_REPEATS, peer, "decision is not valid for entry daemons"),
+                )
             is IdempotencyDecision.AlreadyRan -> recordedResponse(decision.response, peer)
         }
     }
--- a/traffic/src/test/kotlin/lagoonrudder/traffic/direct/DirectSendFilterTest.kt
+++ b/traffic/src/test/kotlin/lagoonrudder/traffic/direct/DirectSendFilterTest.kt
@@ -41,7 +41,6 @@
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
-import lagoonrudder.model.StoreRecord
 import lagoonrudder.model.Refusal
 import lagoonrudder.model.RegionId
 import lagoonrudder.model.RequestId
@@ -50,10 +49,11 @@
 import lagoonrudder.model.RouteId
 import lagoonrudder.model.ServiceId
 import lagoonrudder.model.ServiceShare
+import lagoonrudder.model.ServingConfiguration
 import lagoonrudder.model.ServingRoute
 import lagoonrudder.model.ServingService
-import lagoonrudder.model.ServingConfiguration
 import lagoonrudder.model.Step
+import lagoonrudder.model.StoreRecord
 import lagoonrudder.model.TargetId
 import lagoonrudder.traffic.FilterChain
 import kotlin.random.Random
@@ -210,7 +210,14 @@
                 emptySet(),
             )
         val limits = CallerLimits(1, 1, 1.seconds, 1.seconds)
-        val set = ServingConfiguration(Revision(1), listOf(route), listOf(ServingService(SERVICE, 9, null, null, null, null)), emptyList(), limits)
+        val set =
+            ServingConfiguration(
+                Revision(1),
+                listOf(route),
+                listOf(ServingService(SERVICE, 9, null, null, null, null)),
+                emptyList(),
+                limits,
+            )
         val backEnds =
             listOf("a", "b", "c").map { BackEnd(TargetId(it), SERVICE, Address("10.0.0.1", 1), DOMAIN, 4, false, Duration.ZERO, 1, null) }
         val items =
@@ -220,7 +227,11 @@
                 ->
                 DecodedItem(StoreItem("servers/${each.id.text}", index + 2L, ByteArray(0)), StoreRecord.Registered(each))
             }
-        storeView.applyChanges(items + DecodedItem(StoreItem("op/config", 1, ByteArray(0)), StoreRecord.Configuration(set)), 9, Duration.ZERO)
+        storeView.applyChanges(
+            items + DecodedItem(StoreItem("op/config", 1, ByteArray(0)), StoreRecord.Configuration(set)),
+            9,
+            Duration.ZERO,
+        )
     }
 
     suspend fun run(
--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/ObjectText.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/ObjectText.kt
@@ -8,6 +8,7 @@
 import arrow.core.raise.Raise
 import arrow.core.raise.either
 import arrow.core.right
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.CustomerId
 import lagoonrudder.model.Digest
 import lagoonrudder.model.DomainId
@@ -21,7 +22,6 @@
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.RegionId
 import lagoonrudder.model.RouteId
-import lagoonrudder.model.AdminState
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.VersionId
--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/SealedDocument.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/SealedDocument.kt
@@ -19,11 +19,11 @@
 import lagoonrudder.model.ObjectChanges
 import lagoonrudder.model.ObjectKey
 import lagoonrudder.model.ObjectSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Peer
 import lagoonrudder.model.Revision
 import lagoonrudder.model.SnapshotDelta
-import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Step
 import lagoonrudder.model.canonicalText
 import lagoonrudder.model.changesBetween
@@ -75,7 +75,8 @@
     headText(changes.revision, changes.digest, emptyList(), changes) + writeObjects(changes.changes.changed)
 
 /** Returns the text that sends the full [set] to a peer. */
-fun writeSet(set: ObjectSnapshot): String = headText(set.revision, set.digest, listOf(set.digest), null) + writeObjects(set.objects.byKey.values)
+fun writeSet(set: ObjectSnapshot): String =
+    headText(set.revision, set.digest, listOf(set.digest), null) + writeObjects(set.objects.byKey.values)
 
 /** Reads a head from the platform or changes from a peer. Objects in the text belong to the changes. */
 fun readHead(
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/DirectMessages.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/DirectMessages.kt
@@ -9,8 +9,8 @@
 import kotlinx.serialization.ExperimentalSerializationApi
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.protobuf.ProtoNumber
-import lagoonrudder.control.direct.PeerDaemon
 import lagoonrudder.control.direct.LivePeer
+import lagoonrudder.control.direct.PeerDaemon
 import lagoonrudder.control.direct.SlotWord
 import lagoonrudder.control.direct.StoreItem
 import lagoonrudder.control.direct.WeightManifest
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/Mapping.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/Mapping.kt
@@ -5,13 +5,13 @@
  */
 package lagoonrudder.wire.messages
 
+import lagoonrudder.control.IdempotencyDecision
 import lagoonrudder.control.InstanceChanges
 import lagoonrudder.control.RecordedResponse
-import lagoonrudder.control.IdempotencyDecision
-import lagoonrudder.control.TargetLoad
 import lagoonrudder.control.SurrenderResult
 import lagoonrudder.control.SwitchReport
 import lagoonrudder.control.SwitchStatus
+import lagoonrudder.control.TargetLoad
 import lagoonrudder.control.TargetReport
 import lagoonrudder.model.CustomerId
 import lagoonrudder.model.DaemonId
@@ -19,10 +19,10 @@
 import lagoonrudder.model.Digest
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.FleetId
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.IncarnationId
 import lagoonrudder.model.Instance
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
 import lagoonrudder.model.TargetId
--- a/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcClient.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcClient.kt
@@ -20,8 +20,8 @@
 import kotlinx.coroutines.flow.Flow
 import kotlinx.coroutines.flow.catch
 import kotlinx.coroutines.flow.map
-import lagoonrudder.control.InstanceChanges
 import lagoonrudder.control.IdempotencyDecision
+import lagoonrudder.control.InstanceChanges
 import lagoonrudder.control.SurrenderResult
 import lagoonrudder.control.SwitchReport
 import lagoonrudder.control.TargetReport
--- a/wire/src/test/kotlin/lagoonrudder/wire/MessagesTest.kt
+++ b/wire/src/test/kotlin/lagoonrudder/wire/MessagesTest.kt
@@ -8,8 +8,8 @@
 import lagoonrudder.control.TargetLoad
 import lagoonrudder.model.CustomerId
 import lagoonrudder.model.FleetId
-import lagoonrudder.model.Refusal
 import lagoonrudder.model.IdempotencyKey
+import lagoonrudder.model.Refusal
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
 import lagoonrudder.model.VersionId
--- a/wire/src/test/kotlin/lagoonrudder/wire/ObjectTextTest.kt
+++ b/wire/src/test/kotlin/lagoonrudder/wire/ObjectTextTest.kt
@@ -7,12 +7,12 @@
 import io.kotest.property.Arb
 import io.kotest.property.arbitrary.string
 import io.kotest.property.checkAll
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.ObjectSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Revision
-import lagoonrudder.model.ObjectSnapshot
-import lagoonrudder.model.AdminState
 import lagoonrudder.model.objectSet
 import lagoonrudder.wire.documents.readHead
 import lagoonrudder.wire.documents.readObjects
