--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ConfigurationMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ConfigurationMeasure.kt
@@ -44,8 +44,8 @@
     seen.forEach { println(lineOf(it)) }
     val last = seen.last()
     val callsGrow = last.calls > seen.first().calls * 2
-    val holds = percentile(last.times, 0.99) < mostTime && last.reverts == 0 && !callsGrow
-    return Verdict(lineOf(last), holds)
+    val passed = percentile(last.times, 0.99) < mostTime && last.reverts == 0 && !callsGrow
+    return Verdict(lineOf(last), passed)
 }
 
 private fun lineOf(seen: Seen): String =
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/Figures.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/Figures.kt
@@ -40,7 +40,7 @@
 /** What a measurement found: its last line and whether its targets hold. */
 data class Verdict(
     val line: String,
-    val holds: Boolean,
+    val passed: Boolean,
 )
 
 /** Options such as --seed 7 in the words after a command. */
@@ -53,7 +53,7 @@
     ): Long {
         val index = words.indexOf("--$name")
         if (index < 0) return default
-        return words.getOrNull(index + 1)?.toLongOrNull() ?: throw WrongOption("option --$name: expected a whole number")
+        return words.getOrNull(index + 1)?.toLongOrNull() ?: throw InvalidOptionException("option --$name: expected a whole number")
     }
 
     fun int(
@@ -62,6 +62,6 @@
     ): Int = long(name, default.toLong()).toInt()
 }
 
-class WrongOption(
+class InvalidOptionException(
     message: String,
 ) : Exception(message)
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/Measure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/Measure.kt
@@ -13,7 +13,7 @@
 private val measurements: Map<String, (MeasureOptions) -> Verdict> =
     mapOf(
         "traffic" to ::measureTraffic,
-        "once" to ::measureOnce,
+        "once" to ::measureAtMostOnce,
         "random" to ::measureRandom,
         "weights" to ::measureWeights,
         "readers" to ::measureReaders,
@@ -28,11 +28,11 @@
     val verdict =
         try {
             measurement(MeasureOptions(arguments.drop(1)))
-        } catch (wrong: WrongOption) {
+        } catch (wrong: InvalidOptionException) {
             wrongInput(wrong.message.orEmpty())
         }
-    println("measure=$name ${verdict.line} verdict=${if (verdict.holds) "holds" else "broken"}")
-    exitProcess(if (verdict.holds) 0 else 1)
+    println("measure=$name ${verdict.line} verdict=${if (verdict.passed) "holds" else "broken"}")
+    exitProcess(if (verdict.passed) 0 else 1)
 }
 
 private fun wrongInput(message: String): Nothing {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/OnceMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/OnceMeasure.kt
@@ -13,7 +13,7 @@
 import lagoonrudder.model.objectSet
 import lagoonrudder.standins.CallEnd
 import lagoonrudder.standins.keyIssuedAt
-import lagoonrudder.standins.virtual.RandomFaults
+import lagoonrudder.standins.virtual.RandomFaultInjector
 import lagoonrudder.standins.virtual.VirtualOptions
 import lagoonrudder.standins.virtual.VirtualSite
 import lagoonrudder.standins.virtual.sendOrder
@@ -27,7 +27,7 @@
 private val domains = listOf("ost", "west", "sued")
 
 /** What became of the orders of a run. */
-class OnceResult {
+class AtMostOnceResult {
     val tries = mutableMapOf<String, MutableList<CallEnd>>()
     var doubleRuns = 0
     var falseNotRuns = 0
@@ -51,37 +51,37 @@
     }
 
 /** Runs orders for [seconds] of virtual time with faults drawn from [seed]. */
-fun runOnce(
+fun runAtMostOnce(
     seed: Int,
     seconds: Int,
     faultShare: Double = FAULT_SHARE,
     build: VirtualOptions.() -> Unit = {},
-): OnceResult {
-    val result = OnceResult()
+): AtMostOnceResult {
+    val result = AtMostOnceResult()
     val random = Random(seed)
     val site =
-        runVirtual(objects(null), (seconds + 20).seconds, {
+        runSimulation(objects(null), (seconds + 20).seconds, {
             this.seed = seed
-            faults = RandomFaults(Random(seed), faultShare)
+            faults = RandomFaultInjector(Random(seed), faultShare)
             build(this)
         }) {
             scope.launch { disturb(random, seconds) }
-            arrivals(Random(seed + 1), ORDERS_PER_SECOND, seconds.seconds) { order(it, seed, result) }
+            poissonArrivals(Random(seed + 1), ORDERS_PER_SECOND, seconds.seconds) { order(it, seed, result) }
         }
     judge(site, result)
     return result
 }
 
-fun measureOnce(options: MeasureOptions): Verdict {
+fun measureAtMostOnce(options: MeasureOptions): Verdict {
     val seed = options.int("seed", 1)
     val runs = options.int("runs", 10)
     val seconds = options.int("seconds", 260)
-    val results = (seed until seed + runs).map { runOnce(it, seconds).also { result -> println("seed=$it ${lineOf(listOf(result))}") } }
-    val holds = results.all { it.doubleRuns == 0 && it.falseNotRuns == 0 && it.wrong == 0 && it.violations == 0 }
-    return Verdict("seed=$seed runs=$runs ${lineOf(results)}", holds)
+    val results = (seed until seed + runs).map { runAtMostOnce(it, seconds).also { result -> println("seed=$it ${lineOf(listOf(result))}") } }
+    val passed = results.all { it.doubleRuns == 0 && it.falseNotRuns == 0 && it.wrong == 0 && it.violations == 0 }
+    return Verdict("seed=$seed runs=$runs ${lineOf(results)}", passed)
 }
 
-private fun lineOf(results: List<OnceResult>): String =
+private fun lineOf(results: List<AtMostOnceResult>): String =
     figures {
         add("orders", results.sumOf { it.tries.size })
         add("calls", results.sumOf { result -> result.count { true } })
@@ -96,7 +96,7 @@
         add("violations", results.sumOf { it.violations })
     }
 
-private fun codes(results: List<OnceResult>): Map<String, Int> =
+private fun codes(results: List<AtMostOnceResult>): Map<String, Int> =
     results
         .flatMap { it.tries.values.flatten() }
         .filterIsInstance<CallEnd.NotRun>()
@@ -107,7 +107,7 @@
 private suspend fun VirtualSite.order(
     number: Int,
     seed: Int,
-    result: OnceResult,
+    result: AtMostOnceResult,
 ) {
     val random = Random(seed * 100_003 + number)
     val key = RepeatKey(keyIssuedAt(clock.now().toEpochMilliseconds() - random.nextLong(50), random))
@@ -126,7 +126,7 @@
 private suspend fun VirtualSite.checkNotRun(
     body: String,
     before: Int,
-    result: OnceResult,
+    result: AtMostOnceResult,
 ) {
     delay(6.seconds)
     if (runsOf(body) > before) result.falseNotRuns++
@@ -136,7 +136,7 @@
 
 private fun judge(
     site: VirtualSite,
-    result: OnceResult,
+    result: AtMostOnceResult,
 ) {
     result.doubleRuns = result.tries.keys.count { site.runsOf(it) > 1 }
     result.wrong = result.count { it is CallEnd.Wrong }
@@ -154,11 +154,11 @@
         when (random.nextInt(5)) {
             0 -> publish(objects(domains.random(random)))
             1 -> publish(objects(null))
-            2 -> replaceTarget(TargetId("ledger-${domains.random(random)}"))
+            2 -> restartTargetDaemon(TargetId("ledger-${domains.random(random)}"))
             3 ->
                 targets.values
                     .random(random)
-                    .backEnd.losesNextAnswer = true
+                    .backEnd.dropNextResponse = true
             else -> publishLate(random)
         }
     }
@@ -169,5 +169,5 @@
     val late = (targets.keys.map { it.text } + entries.map { it.name.text }).filter { random.nextBoolean() }.toSet()
     publish(objects(domains.random(random))) { it !in late }
     delay(random.nextInt(3_000).milliseconds)
-    heal()
+    deliverToAll()
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/RandomMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/RandomMeasure.kt
@@ -15,11 +15,11 @@
 import lagoonrudder.standins.EngineTraits
 import lagoonrudder.standins.TextCall
 import lagoonrudder.standins.keyIssuedAt
-import lagoonrudder.standins.virtual.RandomFaults
+import lagoonrudder.standins.virtual.RandomFaultInjector
 import lagoonrudder.standins.virtual.VirtualOptions
 import lagoonrudder.standins.virtual.VirtualSite
 import lagoonrudder.standins.virtual.VirtualTarget
-import lagoonrudder.standins.virtual.askText
+import lagoonrudder.standins.virtual.requestText
 import lagoonrudder.standins.virtual.sendOrder
 import kotlin.random.Random
 import kotlin.time.Duration
@@ -32,9 +32,9 @@
 private const val STEP_SECONDS = 2
 
 /** What a random run saw. */
-class RandomResult {
-    val ends = mutableListOf<CallEnd>()
-    val problems = mutableListOf<String>()
+class RandomRunResult {
+    val responses = mutableListOf<CallEnd>()
+    val failures = mutableListOf<String>()
     var doubleRuns = 0
 }
 
@@ -61,31 +61,31 @@
     }
 
 /** Runs [steps] of faults drawn from [seed]; [build] may switch on a deliberate defect. */
-fun runRandom(
+fun runRandomFaults(
     seed: Int,
     steps: Int,
     build: VirtualOptions.() -> Unit = {},
-): RandomResult {
-    val result = RandomResult()
+): RandomRunResult {
+    val result = RandomRunResult()
     val seconds = steps * STEP_SECONDS
     val site =
-        runVirtual(objects(null, "m-1"), (seconds + 20).seconds, {
+        runSimulation(objects(null, "m-1"), (seconds + 20).seconds, {
             this.seed = seed
             engine = traits
-            faults = RandomFaults(Random(seed), 0.03)
+            faults = RandomFaultInjector(Random(seed), 0.03)
             build(this)
         }) {
             scope.launch { repeat(steps) { disturb(Random(seed * 1_000 + it)) } }
-            arrivals(Random(seed), CALLS_PER_SECOND, seconds.seconds) { callAny(it, seed, result) }
+            poissonArrivals(Random(seed), CALLS_PER_SECOND, seconds.seconds) { callAny(it, seed, result) }
         }
-    result.problems += site.violations.map { "${it.invariant} ${it.detail}" }
-    result.problems += result.ends.filterIsInstance<CallEnd.Wrong>().map { "wrong answer: ${it.detail}" }
+    result.failures += site.violations.map { "${it.invariant} ${it.detail}" }
+    result.failures += result.responses.filterIsInstance<CallEnd.Wrong>().map { "wrong answer: ${it.detail}" }
     val runs =
         site.targets.values
             .flatMap { it.backEnd.runs.entries }
             .groupBy({ it.key }, { it.value })
     result.doubleRuns = runs.count { it.value.sum() > 1 }
-    if (result.doubleRuns > 0) result.problems += "double runs: ${result.doubleRuns}"
+    if (result.doubleRuns > 0) result.failures += "double runs: ${result.doubleRuns}"
     return result
 }
 
@@ -93,38 +93,38 @@
     val seed = options.int("seed", 1)
     val steps = options.int("steps", 60)
     val runs = options.int("runs", 1)
-    val results = (seed until seed + runs).map { one -> runRandom(one, steps).also { println("seed=$one ${lineOf(listOf(it))}") } }
-    results.flatMap { it.problems }.take(10).forEach { println("problem: $it") }
-    return Verdict("seed=$seed steps=$steps runs=$runs ${lineOf(results)}", results.all { it.problems.isEmpty() })
+    val results = (seed until seed + runs).map { one -> runRandomFaults(one, steps).also { println("seed=$one ${lineOf(listOf(it))}") } }
+    results.flatMap { it.failures }.take(10).forEach { println("problem: $it") }
+    return Verdict("seed=$seed steps=$steps runs=$runs ${lineOf(results)}", results.all { it.failures.isEmpty() })
 }
 
-private fun lineOf(results: List<RandomResult>): String {
-    val ends = results.flatMap { it.ends }
+private fun lineOf(results: List<RandomRunResult>): String {
+    val responses = results.flatMap { it.responses }
     return figures {
-        add("calls", ends.size)
-        add("whole", ends.count { it is CallEnd.Whole })
-        add("not-run", ends.count { it is CallEnd.NotRun })
-        add("unknown", ends.count { it is CallEnd.Unknown })
-        add("broken", ends.count { it is CallEnd.Broken })
-        add("problems", results.sumOf { it.problems.size })
+        add("calls", responses.size)
+        add("whole", responses.count { it is CallEnd.Whole })
+        add("not-run", responses.count { it is CallEnd.NotRun })
+        add("unknown", responses.count { it is CallEnd.Unknown })
+        add("broken", responses.count { it is CallEnd.Broken })
+        add("problems", results.sumOf { it.failures.size })
     }
 }
 
 private suspend fun VirtualSite.callAny(
     number: Int,
     seed: Int,
-    result: RandomResult,
+    result: RandomRunResult,
 ) {
     val random = Random(seed * 1_000_003 + number)
     val entry = entries.random(random)
     val token = "token-customer-${random.nextInt(4)}"
-    result.ends +=
+    result.responses +=
         if (random.nextInt(4) == 0) {
             val key = RepeatKey(keyIssuedAt(clock.now().toEpochMilliseconds(), random))
             sendOrder(entry, "/v1/fees", token, key, "order-$number", 8.seconds)
         } else {
             val pause = if (random.nextInt(20) == 0) random.nextInt(400).milliseconds else Duration.ZERO
-            askText(entry, TextCall("/v1/text", token, "prompt $number", random.nextInt(1, 60), 30.seconds, pause))
+            requestText(entry, TextCall("/v1/text", token, "prompt $number", random.nextInt(1, 60), 30.seconds, pause))
         }
 }
 
@@ -133,14 +133,14 @@
     val target = targets.values.random(random)
     when (random.nextInt(9)) {
         0 -> target.backEnd.restart()
-        1 -> replaceTarget(target.id)
+        1 -> restartTargetDaemon(target.id)
         2 -> publish(objects(places.random(random), versionOf(random)))
         3 -> publish(objects(null, versionOf(random)))
         4 -> publishToSome(random)
         5 -> silence(target, random)
         6 -> cut(target, random)
         7 -> changeVersionUnasked(target, random)
-        else -> target.backEnd.losesNextAnswer = true
+        else -> target.backEnd.dropNextResponse = true
     }
     delay(STEP_SECONDS.seconds)
 }
@@ -150,17 +150,17 @@
 private suspend fun VirtualSite.publishToSome(random: Random) {
     publish(objects(null, versionOf(random))) { it.hashCode() % 2 == 0 }
     delay(random.nextInt(1_500).milliseconds)
-    heal()
+    deliverToAll()
 }
 
 private fun VirtualSite.silence(
     target: VirtualTarget,
     random: Random,
 ) {
-    target.backEnd.silent = true
+    target.backEnd.stalled = true
     scope.launch {
         delay(random.nextInt(5_000).milliseconds)
-        target.backEnd.silent = false
+        target.backEnd.stalled = false
     }
 }
 
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ReaderMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ReaderMeasure.kt
@@ -14,7 +14,7 @@
 import lagoonrudder.standins.TextCall
 import lagoonrudder.standins.percentile
 import lagoonrudder.standins.virtual.VirtualSite
-import lagoonrudder.standins.virtual.askText
+import lagoonrudder.standins.virtual.requestText
 import kotlin.random.Random
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -63,7 +63,7 @@
     bounded.forEach { (readers, held) -> println("policy=windowed ${lineOf(readers, held)}") }
     println("policy=unbounded ${lineOf(1_000, unbounded)}")
     val slowdown = bounded.values.maxOf { it.fastP95 / without.fastP95 }
-    val holds =
+    val passed =
         bounded.values.all { it.most <= BUDGET_BYTES && it.violations == 0 && it.slow.none { end -> end is CallEnd.Wrong } } &&
             slowdown <= MOST_SLOWDOWN &&
             bounded.values.all { it.fastWhole >= LEAST_FAST_WHOLE }
@@ -75,7 +75,7 @@
             add("held-1000-unbounded-bytes", unbounded.most)
             add("fast-slowdown", slowdown)
         }
-    return Verdict(line, holds)
+    return Verdict(line, passed)
 }
 
 private fun lineOf(
@@ -102,7 +102,7 @@
 ): Held {
     val held = Held()
     val site =
-        runVirtual(objects(), 120.seconds, {
+        runSimulation(objects(), 120.seconds, {
             this.seed = seed
             engine = traits
             this.readers = policy
@@ -111,7 +111,7 @@
         }) {
             repeat(readers) { number -> scope.launch { held.slow += read(number, "slow", SLOW_TOKENS, readPause) } }
             scope.launch { watch(held) }
-            arrivals(Random(seed), FAST_PER_SECOND, length) { held.fast += read(it, "fast", FAST_TOKENS, Duration.ZERO) }
+            poissonArrivals(Random(seed), FAST_PER_SECOND, length) { held.fast += read(it, "fast", FAST_TOKENS, Duration.ZERO) }
         }
     held.violations = site.violations.size
     return held
@@ -122,7 +122,7 @@
     customer: String,
     tokens: Int,
     pause: Duration,
-): CallEnd = askText(entries[number % entries.size], TextCall("/v1/text", "token-$customer", "prompt $number", tokens, 110.seconds, pause))
+): CallEnd = requestText(entries[number % entries.size], TextCall("/v1/text", "token-$customer", "prompt $number", tokens, 110.seconds, pause))
 
 private suspend fun VirtualSite.watch(held: Held) {
     while (clock.elapsed() < 110.seconds) {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/TrafficMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/TrafficMeasure.kt
@@ -17,7 +17,7 @@
 import lagoonrudder.standins.percentile
 import lagoonrudder.standins.virtual.VirtualOptions
 import lagoonrudder.standins.virtual.VirtualSite
-import lagoonrudder.standins.virtual.askText
+import lagoonrudder.standins.virtual.requestText
 import kotlin.random.Random
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
@@ -120,7 +120,7 @@
 fun measureTraffic(options: MeasureOptions): Verdict {
     val seed = options.int("seed", 1)
     val summary = Figures()
-    var holds = true
+    var passed = true
     for (workload in listOf(morning, evening)) {
         for (case in listOf(Case.Overload, Case.ColdStart, Case.Burst)) {
             val results = listOf(own, baseline).associateWith { runCase(workload, case, it, seed) }
@@ -128,10 +128,10 @@
             val baseShare = results.getValue(baseline)
             summary.add("${workload.name}-${case.name}", ownShare)
             summary.add("${workload.name}-${case.name}-baseline", baseShare)
-            holds = holds && meetsTarget(case, ownShare, baseShare)
+            passed = passed && meetsTarget(case, ownShare, baseShare)
         }
     }
-    return Verdict("seed=$seed $summary", holds)
+    return Verdict("seed=$seed $summary", passed)
 }
 
 /** Overload: 90% of capacity. Cold start and burst: at least twice the baseline. */
@@ -155,7 +155,7 @@
     val observed = Observed()
     val capacity = capacityOf(workload)
     val site =
-        runVirtual(objects(workload), warmUp + length + 10.seconds, {
+        runSimulation(objects(workload), warmUp + length + 10.seconds, {
             this.seed = seed
             engine = traits
             policies.build(this)
@@ -229,13 +229,13 @@
     observed: Observed,
 ) {
     val end = warmUp + length
-    scope.launch { arrivals(Random(seed), capacity * case.load, end) { call(workload, it, it % CUSTOMERS, observed) } }
+    scope.launch { poissonArrivals(Random(seed), capacity * case.load, end) { call(workload, it, it % CUSTOMERS, observed) } }
     delay(warmUp)
     when (case) {
         Case.Overload -> Unit
         Case.ColdStart -> targets.values.forEach { it.backEnd.restart() }
         Case.Burst ->
-            arrivals(
+            poissonArrivals(
                 Random(seed + 1),
                 capacity * case.load / CUSTOMERS * BURST_FACTOR * BURST_FACTOR,
                 end,
@@ -261,6 +261,6 @@
             limit = workload.deadline * 3,
         )
     val started = clock.elapsed()
-    val end = askText(entries[random.nextInt(entries.size)], call)
+    val end = requestText(entries[random.nextInt(entries.size)], call)
     if (started >= warmUp) observed.calls += Observed.One(customer, jury, end)
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/VirtualRun.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/VirtualRun.kt
@@ -20,7 +20,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** Builds and starts a site, runs [script] in it, advances the time by [length], and closes it. */
-fun runVirtual(
+fun runSimulation(
     objects: ObjectSet,
     length: Duration,
     build: VirtualOptions.() -> Unit,
@@ -37,7 +37,7 @@
 }
 
 /** Starts [call] at random times, on average [perSecond] times a second, until [until]. */
-suspend fun VirtualSite.arrivals(
+suspend fun VirtualSite.poissonArrivals(
     random: Random,
     perSecond: Double,
     until: Duration,
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/WeightMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/WeightMeasure.kt
@@ -21,11 +21,11 @@
     )
 private val faultCases =
     mapOf(
-        "dying-2%" to SpreadFaults(dying = 0.02),
-        "dying-10%" to SpreadFaults(dying = 0.10),
-        "corrupted-1%" to SpreadFaults(corrupted = 0.01),
-        "region-cut" to SpreadFaults(cutRegion = true),
-        "all" to SpreadFaults(dying = 0.02, corrupted = 0.01, cutRegion = true),
+        "dying-2%" to DistributionFaults(dying = 0.02),
+        "dying-10%" to DistributionFaults(dying = 0.10),
+        "corrupted-1%" to DistributionFaults(corrupted = 0.01),
+        "region-cut" to DistributionFaults(cutRegion = true),
+        "all" to DistributionFaults(dying = 0.02, corrupted = 0.01, cutRegion = true),
     )
 private const val MOST_ORIGIN_COPIES = 1.1
 private const val MOST_ORIGIN_COPIES_WITH_FAULTS = 1.5
@@ -36,10 +36,10 @@
 fun measureWeights(options: MeasureOptions): Verdict {
     val seed = options.int("seed", 1)
     val rates = LinkRates()
-    val plain = sizes.associateWith { run("striped", SourcePolicy.Striped, it, SpreadFaults(), "none", rates, seed) }
+    val plain = sizes.associateWith { run("striped", SourcePolicy.Striped, it, DistributionFaults(), "none", rates, seed) }
     val baselines = sizes.take(3)
-    baselines.forEach { run("region-lead", SourcePolicy.RegionLead, it, SpreadFaults(), "none", rates, seed) }
-    baselines.forEach { run("origin-only", SourcePolicy.OriginOnly, it, SpreadFaults(), "none", rates, seed) }
+    baselines.forEach { run("region-lead", SourcePolicy.RegionLead, it, DistributionFaults(), "none", rates, seed) }
+    baselines.forEach { run("origin-only", SourcePolicy.OriginOnly, it, DistributionFaults(), "none", rates, seed) }
     val largest = sizes.last()
     val large = plain.getValue(largest)
     val faulty = faultCases.map { (name, faults) -> run("striped", SourcePolicy.Striped, sizes[3], faults, name, rates, seed) }
@@ -50,8 +50,8 @@
     val overBound = large.readySeconds / bound
     val ofWhole = thin.readySeconds / (rates.copyBytes / rates.region)
     val worstOrigin = faulty.maxOf { it.originCopies }
-    val whole = faulty.all { it.ready == it.alive && it.damagedKept == 0 }
-    val holds =
+    val whole = faulty.all { it.ready == it.alive && it.corruptChunksKept == 0 }
+    val passed =
         plain.values.all { it.originCopies <= MOST_ORIGIN_COPIES } &&
             worstOrigin <= MOST_ORIGIN_COPIES_WITH_FAULTS &&
             whole &&
@@ -69,7 +69,7 @@
             add("of-whole-copies-3-regions", ofWhole)
             add("all-ready-with-faults", whole)
         }
-    return Verdict(line, holds)
+    return Verdict(line, passed)
 }
 
 /** The time that no plan can beat: the slowest of the origin, one instance's link, and the links out of the origin's region. */
@@ -95,11 +95,11 @@
     name: String,
     policy: SourcePolicy,
     size: Size,
-    faults: SpreadFaults,
+    faults: DistributionFaults,
     faultName: String,
     rates: LinkRates,
     seed: Int,
-): SpreadResult {
+): DistributionResult {
     val result = WeightSimulation(policy, rates, faults, size.regions, size.domains, size.replicas, seed).run()
     println(
         figures {
@@ -111,9 +111,9 @@
             add("ready-seconds", result.readySeconds)
             add("ready", "${result.ready}/${result.alive}")
             add("origin-copies", result.originCopies)
-            add("busiest-region-link-copies", result.busiestRegionLinkCopies)
-            add("busiest-instance-link-copies", result.busiestInstanceCopies)
-            add("damaged-kept", result.damagedKept)
+            add("busiest-region-link-copies", result.maxRegionLinkCopies)
+            add("busiest-instance-link-copies", result.maxInstanceLinkCopies)
+            add("damaged-kept", result.corruptChunksKept)
         },
     )
     return result
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/WeightSimulation.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/WeightSimulation.kt
@@ -29,20 +29,20 @@
 import kotlin.time.DurationUnit
 
 /** What goes wrong during a spread. */
-data class SpreadFaults(
+data class DistributionFaults(
     val dying: Double = 0.0,
     val corrupted: Double = 0.0,
     val cutRegion: Boolean = false,
 )
 
-data class SpreadResult(
+data class DistributionResult(
     val readySeconds: Double,
     val ready: Int,
     val alive: Int,
     val originCopies: Double,
-    val busiestRegionLinkCopies: Double,
-    val busiestInstanceCopies: Double,
-    val damagedKept: Int,
+    val maxRegionLinkCopies: Double,
+    val maxInstanceLinkCopies: Double,
+    val corruptChunksKept: Int,
 )
 
 private const val CHUNKS = 200
@@ -53,7 +53,7 @@
 class WeightSimulation(
     private val policy: SourcePolicy,
     private val rates: LinkRates,
-    private val faults: SpreadFaults,
+    private val faults: DistributionFaults,
     regions: Int,
     domains: Int,
     replicas: Int,
@@ -94,9 +94,9 @@
     private val cut = RegionId("r1")
     private val objects = objectsOf(regions, domains)
     private val nodes = nodesOf(domains, replicas).associateBy { it.holder.daemon }
-    private var damagedKept = 0
+    private var corruptChunksKept = 0
 
-    fun run(): SpreadResult {
+    fun run(): DistributionResult {
         nodes.values.forEach { node -> at(random.nextDouble()) { poll(node) } }
         nodes.values.filter { random.nextDouble() < faults.dying }.forEach { node ->
             at(random.nextDouble(rates.allowedSeconds / 2)) {
@@ -111,14 +111,14 @@
         }
         val alive = nodes.values.filter { it.alive }
         val ready = alive.filter { !it.readyAt.isNaN() }
-        return SpreadResult(
+        return DistributionResult(
             readySeconds = if (ready.size < alive.size) Double.POSITIVE_INFINITY else ready.maxOf { it.readyAt },
             ready = ready.size,
             alive = alive.size,
             originCopies = originLink.bytes / rates.copyBytes,
-            busiestRegionLinkCopies = (regionLinks.values.maxOfOrNull { it.bytes } ?: 0.0) / rates.copyBytes,
-            busiestInstanceCopies = nodes.values.maxOf { max(it.up.bytes, it.down.bytes) } / rates.copyBytes,
-            damagedKept = damagedKept,
+            maxRegionLinkCopies = (regionLinks.values.maxOfOrNull { it.bytes } ?: 0.0) / rates.copyBytes,
+            maxInstanceLinkCopies = nodes.values.maxOf { max(it.up.bytes, it.down.bytes) } / rates.copyBytes,
+            corruptChunksKept = corruptChunksKept,
         )
     }
 
@@ -236,7 +236,7 @@
         chunk: ChunkIndex,
         result: DrawResult,
     ) {
-        if (result is DrawResult.Arrived && result.digest == wrong) damagedKept++
+        if (result is DrawResult.Arrived && result.digest == wrong) corruptChunksKept++
         node.has[chunk.number] = true
         node.waiters.remove(chunk.number)?.filter { it.open }?.forEach {
             it.open = false
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualBackEnd.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualBackEnd.kt
@@ -52,14 +52,14 @@
     val runs = mutableMapOf<String, Int>()
     var falls = 0
         private set
-    var mostRequests = 0
+    var maxConcurrentRequests = 0
         private set
 
     /** Whether answers stop where they are. */
-    var silent = false
+    var stalled = false
 
     /** Whether the end of the next plain call is lost after it ran. */
-    var losesNextAnswer = false
+    var dropNextResponse = false
 
     /** Starts anew, cold. */
     fun restart(serving: VersionId? = version) {
@@ -97,8 +97,8 @@
         val body = work.body.decodeToString()
         runs.merge(body, 1, Int::plus)
         delay(PLAIN_TIME)
-        if (losesNextAnswer) {
-            losesNextAnswer = false
+        if (dropNextResponse) {
+            dropNextResponse = false
             return Failure.Interrupted(Step.RUN, PEER, "the answer was lost").left()
         }
         return RecordedAnswer(OK, "text/plain", "done $body".encodeToByteArray()).right()
@@ -123,7 +123,7 @@
 
     private fun enter(tokens: Long) {
         val stands = load.enter(tokens, age())
-        mostRequests = maxOf(mostRequests, load.requests())
+        maxConcurrentRequests = maxOf(maxConcurrentRequests, load.requests())
         if (stands) return
         falls++
         restart()
@@ -140,7 +140,7 @@
         var offset = request.offset
         val length = request.work.maximumTokens.toLong() * TOKEN_CHARACTERS
         while (offset < length) {
-            while (silent) delay(SILENCE_CHECK)
+            while (stalled) delay(SILENCE_CHECK)
             if (own != life) return emit(Failure.Interrupted(Step.RUN, PEER, "the engine fell over").left())
             val piece = textOf(served.text, request.work.prompt, offset).encodeToByteArray()
             sum.update(piece)
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualCaller.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualCaller.kt
@@ -17,7 +17,7 @@
 import kotlin.time.Duration
 
 /** Collects an answer; each write takes [pause], as a slow reader would. */
-class VirtualSink(
+class RecordingSink(
     private val clock: VirtualClock,
     private val pause: Duration,
 ) : AnswerSink {
@@ -62,11 +62,11 @@
 }
 
 /** Asks [entry] for text and judges the answer. */
-suspend fun VirtualSite.askText(
+suspend fun VirtualSite.requestText(
     entry: VirtualEntry,
     call: TextCall,
 ): CallEnd {
-    val sink = VirtualSink(clock, call.pause)
+    val sink = RecordingSink(clock, call.pause)
     val started = clock.elapsed()
     val body = "{\"prompt\":\"${call.prompt}\",\"max_tokens\":${call.tokens}}".encodeToByteArray()
     val request = CallerRequest("POST", call.path, call.token, null, "application/json", body)
@@ -84,7 +84,7 @@
     body: String,
     limit: Duration,
 ): CallEnd {
-    val sink = VirtualSink(clock, Duration.ZERO)
+    val sink = RecordingSink(clock, Duration.ZERO)
     val started = clock.elapsed()
     val request = CallerRequest("POST", path, token, key, "text/plain", body.encodeToByteArray())
     val outcome = withTimeoutOrNull(limit) { entry.call(request, sink) } ?: return CallEnd.Broken("no end within $limit")
@@ -93,7 +93,7 @@
 
 private fun judge(
     outcome: Outcome,
-    sink: VirtualSink,
+    sink: RecordingSink,
     started: Duration,
     took: Duration,
     expected: () -> String,
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
@@ -111,10 +111,10 @@
     var engine = EngineTraits()
     var entriesEach = 2
     var latency: Duration = 2.milliseconds
-    var faults: FaultSource = FaultSource { LinkFault.None }
+    var faults: FaultInjector = FaultInjector { ExchangeFault.None }
 
     /** Wraps the connections, for deliberate defects in tests. */
-    var link: (TargetLink) -> TargetLink = { it }
+    var client: (TargetLink) -> TargetLink = { it }
 }
 
 class VirtualEntry(
@@ -164,7 +164,7 @@
     private var generation = 0L
     private var requests = 0
     private var lives = 0
-    private val link = options.link(VirtualLink(scope, { targets[it] }, options.latency, options.faults))
+    private val client = options.client(VirtualTargetClient(scope, { targets[it] }, options.latency, options.faults))
     val targets = linkedMapOf<TargetId, VirtualTarget>()
     val entries = mutableListOf<VirtualEntry>()
     var revision = Revision.NONE
@@ -191,10 +191,10 @@
     }
 
     /** Hands the current set to everyone who has not got it. */
-    fun heal() = configureAll()
+    fun deliverToAll() = configureAll()
 
     /** Replaces the daemon beside [target] by one with empty memory. */
-    fun replaceTarget(target: TargetId) {
+    fun restartTargetDaemon(target: TargetId) {
         val old = targets.getValue(target)
         startTarget(objects.targets.getValue(target), old.backEnd)
         configureAll()
@@ -217,7 +217,7 @@
         control.switch.read(backEnd.engineState())
         val chain = FilterChain(targetFilters(control, backEnd, clock, invariants, EngineLimits()))
         targets[target.id] =
-            VirtualTarget(target.id, target.domain, control, chain, backEnd, Reservations(control, link, clock), clock)
+            VirtualTarget(target.id, target.domain, control, chain, backEnd, Reservations(control, client, clock), clock)
     }
 
     private fun targetControl(
@@ -267,7 +267,7 @@
                 identify = IdentifyFilter(control, clock, CompletionDecoder) { RequestId("request-${requests++}") },
                 admit = AdmitFilter(control),
                 relay = RelayFilter(control, clock, invariants),
-                send = SendFilter(control, link, clock, SendLimits()),
+                send = SendFilter(control, client, clock, SendLimits()),
             )
         return VirtualEntry(name, domain, control, FilterChain(filters), clock)
     }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualLink.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualTargetClient.kt
@@ -39,47 +39,47 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /** What happens to one exchange. */
-sealed class LinkFault {
-    data object None : LinkFault()
+sealed class ExchangeFault {
+    data object None : ExchangeFault()
 
     /** The connection can't be opened: nothing is sent. */
-    data object Refused : LinkFault()
+    data object Refused : ExchangeFault()
 
     /** The request is lost after it left; the target never sees it. */
-    data object RequestLost : LinkFault()
+    data object RequestLost : ExchangeFault()
 
     /** The request arrives [late]. */
-    data class RequestLate(
+    data class RequestDelayed(
         val late: Duration,
-    ) : LinkFault()
+    ) : ExchangeFault()
 
     /** The target runs the request and its answer breaks after [events] events. */
-    data class AnswerBreaks(
+    data class ResponseAborted(
         val events: Int,
-    ) : LinkFault()
+    ) : ExchangeFault()
 
     /** The answer falls silent after [events] events. */
-    data class AnswerSilent(
+    data class ResponseStalled(
         val events: Int,
-    ) : LinkFault()
+    ) : ExchangeFault()
 
     /** The answer to another request comes first. */
-    data object Crossed : LinkFault()
+    data object ResponseMismatched : ExchangeFault()
 
     /** A byte of the answer is changed on the way. */
-    data object Corrupted : LinkFault()
+    data object ResponseCorrupted : ExchangeFault()
 }
 
 /** Draws the fault of each exchange. */
-fun interface FaultSource {
-    fun next(target: TargetId): LinkFault
+fun interface FaultInjector {
+    fun next(target: TargetId): ExchangeFault
 }
 
-class VirtualLink(
+class VirtualTargetClient(
     private val scope: CoroutineScope,
     private val targets: (TargetId) -> VirtualTarget?,
     private val latency: Duration,
-    private val faults: FaultSource,
+    private val faults: FaultInjector,
 ) : TargetLink {
     override suspend fun reserve(
         target: Instance,
@@ -109,9 +109,9 @@
         channelFlow {
             val fault = faults.next(idOf(target))
             val peer = peerOf(target)
-            if (fault is LinkFault.Refused || find(target) == null) return@channelFlow send(refused(peer, Step.CONNECT).left())
-            if (fault is LinkFault.RequestLost) awaitCancellation()
-            delay(latency + if (fault is LinkFault.RequestLate) fault.late else Duration.ZERO)
+            if (fault is ExchangeFault.Refused || find(target) == null) return@channelFlow send(refused(peer, Step.CONNECT).left())
+            if (fault is ExchangeFault.RequestLost) awaitCancellation()
+            delay(latency + if (fault is ExchangeFault.RequestDelayed) fault.late else Duration.ZERO)
             val found = find(target) ?: return@channelFlow send(broken(peer).left())
             var events = 0
             val call =
@@ -141,17 +141,17 @@
         }
 
     private suspend fun pass(
-        fault: LinkFault,
+        fault: ExchangeFault,
         number: Int,
         event: RunEvent,
         send: suspend (RunEvent) -> Unit,
     ) {
         when (fault) {
-            is LinkFault.AnswerBreaks -> if (number >= fault.events) throw LostConnection()
-            is LinkFault.AnswerSilent -> if (number >= fault.events) awaitCancellation()
-            LinkFault.Crossed -> if (event is RunEvent.Head) return send(event.copy(request = RequestId("other")))
-            LinkFault.Corrupted -> if (event is RunEvent.Bytes) return send(corrupted(event))
-            LinkFault.None, LinkFault.Refused, LinkFault.RequestLost, is LinkFault.RequestLate -> Unit
+            is ExchangeFault.ResponseAborted -> if (number >= fault.events) throw LostConnection()
+            is ExchangeFault.ResponseStalled -> if (number >= fault.events) awaitCancellation()
+            ExchangeFault.ResponseMismatched -> if (event is RunEvent.Head) return send(event.copy(request = RequestId("other")))
+            ExchangeFault.ResponseCorrupted -> if (event is RunEvent.Bytes) return send(corrupted(event))
+            ExchangeFault.None, ExchangeFault.Refused, ExchangeFault.RequestLost, is ExchangeFault.RequestDelayed -> Unit
         }
         send(event)
     }
@@ -171,13 +171,13 @@
         val fault = faults.next(idOf(target))
         val peer = peerOf(target)
         val found = find(target)
-        if (fault is LinkFault.Refused || found == null) return refused(peer, step).left()
+        if (fault is ExchangeFault.Refused || found == null) return refused(peer, step).left()
         val answering =
             scope.async {
-                if (fault is LinkFault.RequestLost) awaitCancellation()
-                delay(latency + if (fault is LinkFault.RequestLate) fault.late else Duration.ZERO)
+                if (fault is ExchangeFault.RequestLost) awaitCancellation()
+                delay(latency + if (fault is ExchangeFault.RequestDelayed) fault.late else Duration.ZERO)
                 val answer = question(found)
-                if (fault is LinkFault.AnswerBreaks || fault is LinkFault.AnswerSilent) awaitCancellation()
+                if (fault is ExchangeFault.ResponseAborted || fault is ExchangeFault.ResponseStalled) awaitCancellation()
                 delay(latency)
                 answer
             }
@@ -203,20 +203,20 @@
 private class LostConnection : Exception()
 
 /** Draws faults at random: each exchange has one with probability [share]. */
-class RandomFaults(
+class RandomFaultInjector(
     private val random: Random,
     var share: Double,
-) : FaultSource {
-    override fun next(target: TargetId): LinkFault {
-        if (random.nextDouble() >= share) return LinkFault.None
+) : FaultInjector {
+    override fun next(target: TargetId): ExchangeFault {
+        if (random.nextDouble() >= share) return ExchangeFault.None
         return when (random.nextInt(KINDS)) {
-            0 -> LinkFault.Refused
-            1 -> LinkFault.RequestLost
-            2 -> LinkFault.RequestLate(random.nextInt(LATEST_MILLISECONDS).milliseconds)
-            3 -> LinkFault.AnswerBreaks(random.nextInt(MOST_EVENTS))
-            4 -> LinkFault.AnswerSilent(random.nextInt(MOST_EVENTS))
-            5 -> LinkFault.Crossed
-            else -> LinkFault.Corrupted
+            0 -> ExchangeFault.Refused
+            1 -> ExchangeFault.RequestLost
+            2 -> ExchangeFault.RequestDelayed(random.nextInt(LATEST_MILLISECONDS).milliseconds)
+            3 -> ExchangeFault.ResponseAborted(random.nextInt(MOST_EVENTS))
+            4 -> ExchangeFault.ResponseStalled(random.nextInt(MOST_EVENTS))
+            5 -> ExchangeFault.ResponseMismatched
+            else -> ExchangeFault.ResponseCorrupted
         }
     }
 
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/RandomRunsTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/RandomRunsTest.kt
@@ -12,8 +12,8 @@
 import lagoonrudder.control.RepeatDecision
 import lagoonrudder.model.Failure
 import lagoonrudder.model.Instance
-import lagoonrudder.standins.measure.runOnce
-import lagoonrudder.standins.measure.runRandom
+import lagoonrudder.standins.measure.runAtMostOnce
+import lagoonrudder.standins.measure.runRandomFaults
 import lagoonrudder.traffic.ReserveRequest
 import lagoonrudder.traffic.RunEvent
 import lagoonrudder.traffic.RunRequest
@@ -24,19 +24,19 @@
 private val seeds = 1..4
 private const val STEPS = 15
 
-/** Forwards to [link]; the base of deliberate defects. */
+/** Forwards to [client]; the base of deliberate defects. */
 private open class ForwardingLink(
-    private val link: TargetLink,
-) : TargetLink by link
+    private val client: TargetLink,
+) : TargetLink by client
 
 /** A defect: the checksum of each piece is made to fit whatever arrived, and the end mark is believed. */
 private class TrustingLink(
-    private val link: TargetLink,
-) : ForwardingLink(link) {
+    private val client: TargetLink,
+) : ForwardingLink(client) {
     override fun run(
         target: Instance,
         request: RunRequest,
-    ): Flow<Either<Failure, RunEvent>> = link.run(target, request).map { event -> event.map(::believed) }
+    ): Flow<Either<Failure, RunEvent>> = client.run(target, request).map { event -> event.map(::believed) }
 
     private fun believed(event: RunEvent): RunEvent =
         when (event) {
@@ -48,45 +48,45 @@
 
 /** A defect: a failed exchange under a permit is reported as one that never reached the target. */
 private class ForgetfulLink(
-    private val link: TargetLink,
-) : ForwardingLink(link) {
+    private val client: TargetLink,
+) : ForwardingLink(client) {
     override fun run(
         target: Instance,
         request: RunRequest,
     ): Flow<Either<Failure, RunEvent>> =
-        link.run(target, request).map { event -> event.mapLeft { Failure.Unreachable(it.step, it.peer, it.detail) } }
+        client.run(target, request).map { event -> event.mapLeft { Failure.Unreachable(it.step, it.peer, it.detail) } }
 
     override suspend fun reserve(
         target: Instance,
         request: ReserveRequest,
         limit: Duration,
     ): Either<Failure, RepeatDecision> =
-        link.reserve(target, request, limit).fold({ RepeatDecision.Uncertain(it.detail).right() }, { it.right() })
+        client.reserve(target, request, limit).fold({ RepeatDecision.Uncertain(it.detail).right() }, { it.right() })
 }
 
 class RandomRunsTest :
     FunSpec({
         for (seed in seeds) {
             test("a random run with faults keeps every invariant, seed $seed") {
-                val result = runRandom(seed, STEPS)
-                result.problems.shouldBeEmpty()
-                result.ends.count { it is CallEnd.Whole } shouldBeGreaterThan 500
+                val result = runRandomFaults(seed, STEPS)
+                result.failures.shouldBeEmpty()
+                result.responses.count { it is CallEnd.Whole } shouldBeGreaterThan 500
             }
         }
 
         for (seed in seeds) {
             test("orders under faults run at most once and refusals are true, seed $seed") {
-                val result = runOnce(seed, 40)
+                val result = runAtMostOnce(seed, 40)
                 listOf(result.doubleRuns, result.falseNotRuns, result.wrong, result.violations) shouldBe listOf(0, 0, 0, 0)
                 result.count { it is CallEnd.Whole } shouldBeGreaterThan 300
             }
         }
 
         test("the runs catch answers that are believed without a check") {
-            seeds.flatMap { runRandom(it, STEPS) { link = ::TrustingLink }.problems }.shouldNotBeEmpty()
+            seeds.flatMap { runRandomFaults(it, STEPS) { client = ::TrustingLink }.failures }.shouldNotBeEmpty()
         }
 
         test("the runs catch refusals that are not true") {
-            seeds.sumOf { runOnce(it, 40) { link = ::ForgetfulLink }.falseNotRuns } shouldBeGreaterThan 0
+            seeds.sumOf { runAtMostOnce(it, 40) { client = ::ForgetfulLink }.falseNotRuns } shouldBeGreaterThan 0
         }
     })
