--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/RandomMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/RandomMeasure.kt
@@ -19,7 +19,7 @@
 import lagoonrudder.standins.virtual.VirtualOptions
 import lagoonrudder.standins.virtual.VirtualSite
 import lagoonrudder.standins.virtual.VirtualTarget
-import lagoonrudder.standins.virtual.requestText
+import lagoonrudder.standins.virtual.fetchText
 import lagoonrudder.standins.virtual.sendOrder
 import kotlin.random.Random
 import kotlin.time.Duration
@@ -124,7 +124,7 @@
             sendOrder(entry, "/v1/fees", token, key, "order-$number", 8.seconds)
         } else {
             val pause = if (random.nextInt(20) == 0) random.nextInt(400).milliseconds else Duration.ZERO
-            requestText(entry, TextCall("/v1/text", token, "prompt $number", random.nextInt(1, 60), 30.seconds, pause))
+            fetchText(entry, TextCall("/v1/text", token, "prompt $number", random.nextInt(1, 60), 30.seconds, pause))
         }
 }
 
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ReaderMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ReaderMeasure.kt
@@ -14,7 +14,7 @@
 import lagoonrudder.standins.TextCall
 import lagoonrudder.standins.percentile
 import lagoonrudder.standins.virtual.VirtualSite
-import lagoonrudder.standins.virtual.requestText
+import lagoonrudder.standins.virtual.fetchText
 import kotlin.random.Random
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -105,8 +105,8 @@
         runSimulation(objects(), 120.seconds, {
             this.seed = seed
             engine = traits
-            this.readers = policy
-            limit = LimitPolicy.Fixed
+            this.responseBuffers = policy
+            concurrencyLimit = LimitPolicy.Fixed
             entriesEach = 4
         }) {
             repeat(readers) { number -> scope.launch { held.slow += read(number, "slow", SLOW_TOKENS, readPause) } }
@@ -122,7 +122,7 @@
     customer: String,
     tokens: Int,
     pause: Duration,
-): CallEnd = requestText(entries[number % entries.size], TextCall("/v1/text", "token-$customer", "prompt $number", tokens, 110.seconds, pause))
+): CallEnd = fetchText(entries[number % entries.size], TextCall("/v1/text", "token-$customer", "prompt $number", tokens, 110.seconds, pause))
 
 private suspend fun VirtualSite.watch(held: Held) {
     while (clock.elapsed() < 110.seconds) {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/TrafficMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/TrafficMeasure.kt
@@ -17,7 +17,7 @@
 import lagoonrudder.standins.percentile
 import lagoonrudder.standins.virtual.VirtualOptions
 import lagoonrudder.standins.virtual.VirtualSite
-import lagoonrudder.standins.virtual.requestText
+import lagoonrudder.standins.virtual.fetchText
 import kotlin.random.Random
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
@@ -65,10 +65,10 @@
 private val own = PolicySet("own") { }
 private val baseline =
     PolicySet("baseline") {
-        choice = ChoicePolicy.RoundRobin
-        limit = LimitPolicy.Fixed
+        loadBalancing = ChoicePolicy.RoundRobin
+        concurrencyLimit = LimitPolicy.Fixed
         queue = QueuePolicy.ArrivalOrder
-        readers = ReaderMemoryPolicy.Unbounded
+        responseBuffers = ReaderMemoryPolicy.Unbounded
     }
 
 private const val WORKERS = 8
@@ -261,6 +261,6 @@
             limit = workload.deadline * 3,
         )
     val started = clock.elapsed()
-    val end = requestText(entries[random.nextInt(entries.size)], call)
+    val end = fetchText(entries[random.nextInt(entries.size)], call)
     if (started >= warmUp) observed.calls += Observed.One(customer, jury, end)
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/WeightMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/WeightMeasure.kt
@@ -1,78 +1,82 @@
 /**
- * Time until a version is ready on many replicas and bytes drawn from the origin, beside two baselines and a lower bound.
+ * Measures the time until a version is ready on many replicas and the bytes fetched from the origin, compared with two baseline
+ * policies and a lower bound.
  */
 package lagoonrudder.standins.measure
 
 import lagoonrudder.control.SourcePolicy
 
-private data class Size(
+private data class DeploymentSize(
     val replicas: Int,
     val regions: Int,
     val domains: Int,
 )
 
-private val sizes =
+private val deployments =
     listOf(
-        Size(8, 3, 3),
-        Size(64, 3, 3),
-        Size(64, 9, 34),
-        Size(256, 9, 34),
-        Size(890, 9, 34),
+        DeploymentSize(8, 3, 3),
+        DeploymentSize(64, 3, 3),
+        DeploymentSize(64, 9, 34),
+        DeploymentSize(256, 9, 34),
+        DeploymentSize(890, 9, 34),
     )
 private val faultCases =
     mapOf(
-        "dying-2%" to DistributionFaults(dying = 0.02),
-        "dying-10%" to DistributionFaults(dying = 0.10),
-        "corrupted-1%" to DistributionFaults(corrupted = 0.01),
-        "region-cut" to DistributionFaults(cutRegion = true),
-        "all" to DistributionFaults(dying = 0.02, corrupted = 0.01, cutRegion = true),
+        "dying-2%" to DistributionFaults(crashRate = 0.02),
+        "dying-10%" to DistributionFaults(crashRate = 0.10),
+        "corrupted-1%" to DistributionFaults(corruptionRate = 0.01),
+        "region-cut" to DistributionFaults(isolateRegion = true),
+        "all" to DistributionFaults(crashRate = 0.02, corruptionRate = 0.01, isolateRegion = true),
     )
-private const val MOST_ORIGIN_COPIES = 1.1
-private const val MOST_ORIGIN_COPIES_WITH_FAULTS = 1.5
-private const val MOST_GROWTH = 1.5
-private const val MOST_OVER_BOUND = 1.3
-private const val MOST_OF_WHOLE_COPIES = 0.6
+private const val MAX_ORIGIN_COPIES = 1.1
+private const val MAX_ORIGIN_COPIES_WITH_FAULTS = 1.5
+private const val MAX_GROWTH = 1.5
+private const val MAX_RATIO_TO_LOWER_BOUND = 1.3
+private const val MAX_RATIO_TO_FULL_COPY = 0.6
 
 fun measureWeights(options: MeasureOptions): Verdict {
     val seed = options.int("seed", 1)
     val rates = LinkRates()
-    val plain = sizes.associateWith { run("striped", SourcePolicy.Striped, it, DistributionFaults(), "none", rates, seed) }
-    val baselines = sizes.take(3)
+    val faultFree = deployments.associateWith { run("striped", SourcePolicy.Striped, it, DistributionFaults(), "none", rates, seed) }
+    val baselines = deployments.take(3)
     baselines.forEach { run("region-lead", SourcePolicy.RegionLead, it, DistributionFaults(), "none", rates, seed) }
     baselines.forEach { run("origin-only", SourcePolicy.OriginOnly, it, DistributionFaults(), "none", rates, seed) }
-    val largest = sizes.last()
-    val large = plain.getValue(largest)
-    val faulty = faultCases.map { (name, faults) -> run("striped", SourcePolicy.Striped, sizes[3], faults, name, rates, seed) }
-    val small = plain.getValue(sizes.first())
-    val thin = plain.getValue(sizes[1])
+    val largest = deployments.last()
+    val largestResult = faultFree.getValue(largest)
+    val withFaults = faultCases.map { (name, faults) -> run("striped", SourcePolicy.Striped, deployments[3], faults, name, rates, seed) }
+    val smallest = faultFree.getValue(deployments.first())
+    val threeRegions = faultFree.getValue(deployments[1])
     val bound = lowerBound(rates, largest.regions)
-    val growth = large.readySeconds / small.readySeconds
-    val overBound = large.readySeconds / bound
-    val ofWhole = thin.readySeconds / (rates.copyBytes / rates.region)
-    val worstOrigin = faulty.maxOf { it.originCopies }
-    val whole = faulty.all { it.ready == it.alive && it.corruptChunksKept == 0 }
+    val growth = largestResult.readySeconds / smallest.readySeconds
+    val ratioToBound = largestResult.readySeconds / bound
+    val ratioToFullCopy = threeRegions.readySeconds / (rates.copyBytes / rates.region)
+    val maxOriginCopies = withFaults.maxOf { it.originCopies }
+    val allReady = withFaults.all { it.ready == it.alive && it.corruptChunksKept == 0 }
     val passed =
-        plain.values.all { it.originCopies <= MOST_ORIGIN_COPIES } &&
-            worstOrigin <= MOST_ORIGIN_COPIES_WITH_FAULTS &&
-            whole &&
-            growth <= MOST_GROWTH &&
-            overBound <= MOST_OVER_BOUND &&
-            ofWhole <= MOST_OF_WHOLE_COPIES
+        faultFree.values.all { it.originCopies <= MAX_ORIGIN_COPIES } &&
+            maxOriginCopies <= MAX_ORIGIN_COPIES_WITH_FAULTS &&
+            allReady &&
+            growth <= MAX_GROWTH &&
+            ratioToBound <= MAX_RATIO_TO_LOWER_BOUND &&
+            ratioToFullCopy <= MAX_RATIO_TO_FULL_COPY
     val line =
         figures {
             add("seed", seed)
-            add("ready-890-seconds", large.readySeconds)
-            add("origin-copies-890", large.originCopies)
-            add("origin-copies-with-faults", worstOrigin)
+            add("ready-890-seconds", largestResult.readySeconds)
+            add("origin-copies-890", largestResult.originCopies)
+            add("origin-copies-with-faults", maxOriginCopies)
             add("growth-8-to-890", growth)
-            add("over-bound", overBound)
-            add("of-whole-copies-3-regions", ofWhole)
-            add("all-ready-with-faults", whole)
+            add("over-bound", ratioToBound)
+            add("of-whole-copies-3-regions", ratioToFullCopy)
+            add("all-ready-with-faults", allReady)
         }
     return Verdict(line, passed)
 }
 
-/** The time that no plan can beat: the slowest of the origin, one instance's link, and the links out of the origin's region. */
+/**
+ * The least time in seconds that any plan takes, which is the longest of three: the origin sends one copy, the link of one instance
+ * carries one copy, and the links out of the origin's region together carry one copy.
+ */
 private fun lowerBound(
     rates: LinkRates,
     regions: Int,
@@ -94,7 +98,7 @@
 private fun run(
     name: String,
     policy: SourcePolicy,
-    size: Size,
+    size: DeploymentSize,
     faults: DistributionFaults,
     faultName: String,
     rates: LinkRates,
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/WeightSimulation.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/WeightSimulation.kt
@@ -1,5 +1,5 @@
 /**
- * The spread of one version over many holders, with the real weight controllers over a model of links.
+ * Simulates the distribution of one version's weights to many replicas: the production weight controllers run over modelled links.
  */
 package lagoonrudder.standins.measure
 
@@ -28,13 +28,19 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-/** What goes wrong during a spread. */
+/**
+ * The faults injected into a simulated distribution.
+ *
+ * [crashRate] is the probability that a replica crashes in the first half of the allowed time, [corruptionRate] the probability that a
+ * transferred chunk arrives damaged, and [isolateRegion] separates one region from the others for a while.
+ */
 data class DistributionFaults(
-    val dying: Double = 0.0,
-    val corrupted: Double = 0.0,
-    val cutRegion: Boolean = false,
+    val crashRate: Double = 0.0,
+    val corruptionRate: Double = 0.0,
+    val isolateRegion: Boolean = false,
 )
 
+/** What a simulated distribution achieved; figures in copies are multiples of the size of the weights. */
 data class DistributionResult(
     val readySeconds: Double,
     val ready: Int,
@@ -45,11 +51,16 @@
     val corruptChunksKept: Int,
 )
 
-private const val CHUNKS = 200
-private val good = (0 until CHUNKS).map { byteArrayOf(it.toByte(), (it / 256).toByte()) }
-private val digests = good.map(::digestOf)
-private val wrong = Digest("0".repeat(64))
+private const val CHUNK_COUNT = 200
+private val chunkData = (0 until CHUNK_COUNT).map { byteArrayOf(it.toByte(), (it / 256).toByte()) }
+private val digests = chunkData.map(::digestOf)
+private val corruptDigest = Digest("0".repeat(64))
 
+/**
+ * A discrete-event simulation of one distribution of weights; times in seconds since its start.
+ *
+ * The same [seed] gives the same run. Instances are for one call of [run].
+ */
 class WeightSimulation(
     private val policy: SourcePolicy,
     private val rates: LinkRates,
@@ -63,50 +74,50 @@
         val holder: Holder,
         val controller: WeightController,
     ) {
-        val up = Link(rates.instance)
-        val down = Link(rates.instance)
+        val uplink = Link(rates.instance)
+        val downlink = Link(rates.instance)
         var alive = true
         var readyAt = Double.NaN
         var pollAt = Double.POSITIVE_INFINITY
-        val has = BooleanArray(CHUNKS)
+        val held = BooleanArray(CHUNK_COUNT)
         val waiters = mutableMapOf<Int, MutableList<Waiter>>()
     }
 
     private class Waiter(
-        val draw: () -> Unit,
-        var open: Boolean = true,
+        val fetch: () -> Unit,
+        var pending: Boolean = true,
     )
 
     private class Event(
-        val at: Double,
-        val order: Long,
+        val dueAt: Double,
+        val sequence: Long,
         val run: () -> Unit,
     )
 
     private val random = Random(seed)
-    private val events = PriorityQueue<Event>(compareBy<Event> { it.at }.thenBy { it.order })
-    private var order = 0L
+    private val events = PriorityQueue<Event>(compareBy<Event> { it.dueAt }.thenBy { it.sequence })
+    private var sequence = 0L
     private var now = 0.0
-    private val chunkBytes = rates.copyBytes / CHUNKS
+    private val chunkBytes = rates.copyBytes / CHUNK_COUNT
     private val originLink = Link(rates.origin)
     private val regionLinks = mutableMapOf<Pair<RegionId, RegionId>, Link>()
-    private val home = RegionId("r0")
-    private val cut = RegionId("r1")
+    private val originRegion = RegionId("r0")
+    private val isolated = RegionId("r1")
     private val objects = objectsOf(regions, domains)
     private val nodes = nodesOf(domains, replicas).associateBy { it.holder.daemon }
     private var corruptChunksKept = 0
 
     fun run(): DistributionResult {
-        nodes.values.forEach { node -> at(random.nextDouble()) { poll(node) } }
-        nodes.values.filter { random.nextDouble() < faults.dying }.forEach { node ->
-            at(random.nextDouble(rates.allowedSeconds / 2)) {
+        nodes.values.forEach { node -> schedule(random.nextDouble()) { poll(node) } }
+        nodes.values.filter { random.nextDouble() < faults.crashRate }.forEach { node ->
+            schedule(random.nextDouble(rates.allowedSeconds / 2)) {
                 node.alive =
                     false
             }
         }
-        while (events.isNotEmpty() && now < LONGEST_SECONDS) {
+        while (events.isNotEmpty() && now < MAX_SECONDS) {
             val event = events.remove()
-            now = event.at
+            now = event.dueAt
             event.run()
         }
         val alive = nodes.values.filter { it.alive }
@@ -117,16 +128,16 @@
             alive = alive.size,
             originCopies = originLink.bytes / rates.copyBytes,
             maxRegionLinkCopies = (regionLinks.values.maxOfOrNull { it.bytes } ?: 0.0) / rates.copyBytes,
-            maxInstanceLinkCopies = nodes.values.maxOf { max(it.up.bytes, it.down.bytes) } / rates.copyBytes,
+            maxInstanceLinkCopies = nodes.values.maxOf { max(it.uplink.bytes, it.downlink.bytes) } / rates.copyBytes,
             corruptChunksKept = corruptChunksKept,
         )
     }
 
-    private fun at(
+    private fun schedule(
         time: Double,
         run: () -> Unit,
     ) {
-        events += Event(time, order++, run)
+        events += Event(time, sequence++, run)
     }
 
     private fun time(): Duration = now.seconds
@@ -135,7 +146,7 @@
         if (!node.alive) return
         while (true) {
             when (val decision = node.controller.next(time())) {
-                is DrawDecision.Draw -> draw(node, decision)
+                is DrawDecision.Draw -> fetch(node, decision)
                 is DrawDecision.Wait -> return pollLater(node, decision.until.toDouble(DurationUnit.SECONDS))
                 DrawDecision.Busy -> return
                 DrawDecision.Complete -> {
@@ -150,13 +161,13 @@
         node: Node,
         until: Double,
     ) {
-        val wanted = max(until, now + SHORTEST_PAUSE)
-        if (node.pollAt in now..wanted && node.pollAt > now) return
-        node.pollAt = wanted
-        at(wanted) { poll(node) }
+        val pollTime = max(until, now + MIN_POLL_DELAY_SECONDS)
+        if (node.pollAt in now..pollTime && node.pollAt > now) return
+        node.pollAt = pollTime
+        schedule(pollTime) { poll(node) }
     }
 
-    private fun draw(
+    private fun fetch(
         node: Node,
         decision: DrawDecision.Draw,
     ) {
@@ -164,23 +175,23 @@
             ChunkSource.Origin -> transfer(node, decision, null)
             is ChunkSource.Peer -> {
                 val from = nodes.getValue(source.holder.daemon)
-                if (!from.alive || isCut(node, from)) return endLater(node, decision, now + FAILURE_SECONDS) { DrawResult.Failed }
-                if (from.has[decision.chunk.number]) transfer(node, decision, from) else await(node, decision, from)
+                if (!from.alive || isIsolated(node, from)) return completeAt(node, decision, now + FAILURE_SECONDS) { DrawResult.Failed }
+                if (from.held[decision.chunk.number]) transfer(node, decision, from) else awaitChunk(node, decision, from)
             }
         }
     }
 
-    private fun await(
+    private fun awaitChunk(
         node: Node,
         decision: DrawDecision.Draw,
         from: Node,
     ) {
         val waiter = Waiter({ transfer(node, decision, from) })
         from.waiters.getOrPut(decision.chunk.number) { mutableListOf() } += waiter
-        at(now + PEER_WAIT_SECONDS) {
-            if (waiter.open) {
-                waiter.open = false
-                end(node, decision, if (from.alive) DrawResult.NotYet else DrawResult.Failed)
+        schedule(now + PEER_WAIT_SECONDS) {
+            if (waiter.pending) {
+                waiter.pending = false
+                complete(node, decision, if (from.alive) DrawResult.NotYet else DrawResult.Failed)
             }
         }
     }
@@ -190,66 +201,66 @@
         decision: DrawDecision.Draw,
         from: Node?,
     ) {
-        val sourceLink = from?.up ?: originLink
-        var done = max(sourceLink.send(chunkBytes, now), node.down.send(chunkBytes, now))
-        val region = from?.holder?.region ?: home
+        val sourceLink = from?.uplink ?: originLink
+        var finishedAt = max(sourceLink.send(chunkBytes, now), node.downlink.send(chunkBytes, now))
+        val region = from?.holder?.region ?: originRegion
         if (region != node.holder.region) {
             val link = regionLinks.getOrPut(region to node.holder.region) { Link(rates.region) }
-            done = max(done, link.send(chunkBytes, now))
+            finishedAt = max(finishedAt, link.send(chunkBytes, now))
         }
-        endLater(node, decision, done) {
+        completeAt(node, decision, finishedAt) {
             if (from != null &&
-                (!from.alive || isCut(node, from))
+                (!from.alive || isIsolated(node, from))
             ) {
                 DrawResult.Failed
             } else {
-                arrived(decision.chunk)
+                receivedChunk(decision.chunk)
             }
         }
     }
 
-    private fun arrived(chunk: ChunkIndex): DrawResult {
-        val corrupted = random.nextDouble() < faults.corrupted
-        return DrawResult.Arrived(if (corrupted) wrong else digests[chunk.number], good[chunk.number])
+    private fun receivedChunk(chunk: ChunkIndex): DrawResult {
+        val isCorrupt = random.nextDouble() < faults.corruptionRate
+        return DrawResult.Arrived(if (isCorrupt) corruptDigest else digests[chunk.number], chunkData[chunk.number])
     }
 
-    private fun endLater(
+    private fun completeAt(
         node: Node,
         decision: DrawDecision.Draw,
         time: Double,
         result: () -> DrawResult,
-    ) = at(time) { end(node, decision, result()) }
+    ) = schedule(time) { complete(node, decision, result()) }
 
-    private fun end(
+    private fun complete(
         node: Node,
         decision: DrawDecision.Draw,
         result: DrawResult,
     ) {
         if (!node.alive) return
-        val judged = node.controller.ended(decision.version, decision.chunk, decision.source, result, time())
-        if (judged is ChunkDecision.Keep) keep(node, decision.chunk, result)
+        val outcome = node.controller.ended(decision.version, decision.chunk, decision.source, result, time())
+        if (outcome is ChunkDecision.Keep) storeChunk(node, decision.chunk, result)
         poll(node)
     }
 
-    private fun keep(
+    private fun storeChunk(
         node: Node,
         chunk: ChunkIndex,
         result: DrawResult,
     ) {
-        if (result is DrawResult.Arrived && result.digest == wrong) corruptChunksKept++
-        node.has[chunk.number] = true
-        node.waiters.remove(chunk.number)?.filter { it.open }?.forEach {
-            it.open = false
-            it.draw()
+        if (result is DrawResult.Arrived && result.digest == corruptDigest) corruptChunksKept++
+        node.held[chunk.number] = true
+        node.waiters.remove(chunk.number)?.filter { it.pending }?.forEach {
+            it.pending = false
+            it.fetch()
         }
     }
 
-    private fun isCut(
+    private fun isIsolated(
         one: Node,
         other: Node,
     ): Boolean {
-        val crosses = one.holder.region != other.holder.region && (one.holder.region == cut || other.holder.region == cut)
-        return faults.cutRegion && crosses && now in CUT_FROM_SECONDS..CUT_TO_SECONDS
+        val crosses = one.holder.region != other.holder.region && (one.holder.region == isolated || other.holder.region == isolated)
+        return faults.isolateRegion && crosses && now in ISOLATION_START_SECONDS..ISOLATION_END_SECONDS
     }
 
     private fun objectsOf(
@@ -285,11 +296,11 @@
     }
 
     private companion object {
-        const val LONGEST_SECONDS = 100_000.0
-        const val SHORTEST_PAUSE = 0.005
+        const val MAX_SECONDS = 100_000.0
+        const val MIN_POLL_DELAY_SECONDS = 0.005
         const val FAILURE_SECONDS = 1.0
         const val PEER_WAIT_SECONDS = 2.0
-        const val CUT_FROM_SECONDS = 30.0
-        const val CUT_TO_SECONDS = 90.0
+        const val ISOLATION_START_SECONDS = 30.0
+        const val ISOLATION_END_SECONDS = 90.0
     }
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualBackEnd.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualBackEnd.kt
@@ -1,5 +1,5 @@
 /**
- * A back end in virtual time: an engine that warms up, slows down and falls over, or a plain service that counts its runs.
+ * A back end in virtual time: an engine that warms up, slows down under load and crashes when overloaded, or a plain service.
  */
 package lagoonrudder.standins.virtual
 
@@ -38,51 +38,56 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
+/**
+ * A fake back end that serves [version] with the timing of [traits].
+ *
+ * Text is a pure function of the version, the prompt and the offset, so that callers can verify it.
+ */
 class VirtualBackEnd(
     private val traits: EngineTraits,
     private val clock: Clock,
     private var version: VersionId?,
 ) : BackEnd {
     private val load = EngineLoad(traits)
-    private var startedAt = -traits.warmUp
+    private var readyAt = -traits.warmUp
     private var downUntil = -Duration.INFINITE
-    private var life = 0
+    private var incarnation = 0
 
-    /** How often each body of a plain call ran. */
+    /** The number of executions of each body of a plain call. */
     val runs = mutableMapOf<String, Int>()
     var falls = 0
         private set
     var maxConcurrentRequests = 0
         private set
 
-    /** Whether answers stop where they are. */
+    /** Whether generated responses stall; they continue when it is reset. */
     var stalled = false
 
-    /** Whether the end of the next plain call is lost after it ran. */
+    /** Whether the response to the next plain call is lost after the call was executed. */
     var dropNextResponse = false
 
-    /** Starts anew, cold. */
+    /** Restarts the engine cold with [serving]; it is down for the down time of its traits. */
     fun restart(serving: VersionId? = version) {
-        life++
+        incarnation++
         version = serving
-        startedAt = clock.elapsed() + traits.downTime
-        downUntil = startedAt
+        readyAt = clock.elapsed() + traits.downTime
+        downUntil = readyAt
     }
 
-    /** Serves [next] from now on, as if ordered by someone else. */
+    /** Switches to [next] without an order from the target daemon. */
     fun serve(next: VersionId) {
         version = next
     }
 
     override fun generate(request: GenerateRequest): Flow<Either<Failure, EngineEvent>> =
         flow {
-            val served = version
-            if (clock.elapsed() < downUntil) return@flow emit(Failure.Unreachable(Step.RUN, PEER, "down").left())
-            if (served == null) return@flow emit(Failure.Declined(Step.RUN, PEER, "nothing loaded").left())
+            val servedVersion = version
+            if (clock.elapsed() < downUntil) return@flow emit(Failure.Unreachable(Step.RUN, PEER, "engine is down").left())
+            if (servedVersion == null) return@flow emit(Failure.Declined(Step.RUN, PEER, "no version loaded").left())
             val tokens = request.work.maximumTokens + request.work.prompt.length / TOKEN_CHARACTERS + 1L
             enter(tokens)
             try {
-                answer(request, served, life)
+                respond(request, servedVersion, incarnation)
             } finally {
                 load.leave(tokens)
             }
@@ -93,19 +98,19 @@
         request: RequestId,
         limit: Duration,
     ): Either<Failure, RecordedAnswer> {
-        if (clock.elapsed() < downUntil) return Failure.Unreachable(Step.RUN, PEER, "down").left()
+        if (clock.elapsed() < downUntil) return Failure.Unreachable(Step.RUN, PEER, "engine is down").left()
         val body = work.body.decodeToString()
         runs.merge(body, 1, Int::plus)
-        delay(PLAIN_TIME)
+        delay(PLAIN_CALL_TIME)
         if (dropNextResponse) {
             dropNextResponse = false
-            return Failure.Interrupted(Step.RUN, PEER, "the answer was lost").left()
+            return Failure.Interrupted(Step.RUN, PEER, "response lost").left()
         }
-        return RecordedAnswer(OK, "text/plain", "done $body".encodeToByteArray()).right()
+        return RecordedAnswer(STATUS_OK, "text/plain", "done $body".encodeToByteArray()).right()
     }
 
     override suspend fun state(limit: Duration): Either<Failure, EngineState> =
-        if (clock.elapsed() < downUntil) Failure.Unreachable(Step.ORDER_ENGINE, PEER, "down").left() else engineState().right()
+        if (clock.elapsed() < downUntil) Failure.Unreachable(Step.ORDER_ENGINE, PEER, "engine is down").left() else engineState().right()
 
     override suspend fun order(
         order: EngineOrder,
@@ -119,48 +124,48 @@
         limit: Duration,
     ): Either<Failure, Unit> = Unit.right()
 
-    fun engineState() = EngineState(IncarnationId("life-$life"), version, EngineRole.SERVE, FencingNumber(1), false, 0)
+    fun engineState() = EngineState(IncarnationId("engine-$incarnation"), version, EngineRole.SERVE, FencingNumber(1), false, 0)
 
     private fun enter(tokens: Long) {
-        val stands = load.enter(tokens, age())
+        val survived = load.enter(tokens, uptime())
         maxConcurrentRequests = maxOf(maxConcurrentRequests, load.requests())
-        if (stands) return
+        if (survived) return
         falls++
         restart()
     }
 
-    private suspend fun FlowCollector<Either<Failure, EngineEvent>>.answer(
+    private suspend fun FlowCollector<Either<Failure, EngineEvent>>.respond(
         request: GenerateRequest,
-        served: VersionId,
-        own: Int,
+        servedVersion: VersionId,
+        startIncarnation: Int,
     ) {
-        emit(EngineEvent.Started(IncarnationId("life-$own"), served).right())
-        pause(traits.firstToken)
-        val sum = CRC32C()
+        emit(EngineEvent.Started(IncarnationId("engine-$startIncarnation"), servedVersion).right())
+        delayUnderLoad(traits.firstToken)
+        val checksum = CRC32C()
         var offset = request.offset
-        val length = request.work.maximumTokens.toLong() * TOKEN_CHARACTERS
-        while (offset < length) {
-            while (stalled) delay(SILENCE_CHECK)
-            if (own != life) return emit(Failure.Interrupted(Step.RUN, PEER, "the engine fell over").left())
-            val piece = textOf(served.text, request.work.prompt, offset).encodeToByteArray()
-            sum.update(piece)
-            emit(EngineEvent.Text(offset, piece).right())
-            offset += piece.size
-            pause(traits.tokenInterval)
+        val responseLength = request.work.maximumTokens.toLong() * TOKEN_CHARACTERS
+        while (offset < responseLength) {
+            while (stalled) delay(STALL_POLL_INTERVAL)
+            if (startIncarnation != incarnation) return emit(Failure.Interrupted(Step.RUN, PEER, "engine crashed").left())
+            val token = textOf(servedVersion.text, request.work.prompt, offset).encodeToByteArray()
+            checksum.update(token)
+            emit(EngineEvent.Text(offset, token).right())
+            offset += token.size
+            delayUnderLoad(traits.tokenInterval)
         }
-        emit(EngineEvent.Ended(version ?: served, length, sum.value).right())
+        emit(EngineEvent.Ended(version ?: servedVersion, responseLength, checksum.value).right())
     }
 
-    private suspend fun pause(alone: Duration) =
-        delay((alone.inWholeMicroseconds * load.slowness(age()) / MICROSECONDS).roundToLong().milliseconds)
+    private suspend fun delayUnderLoad(unloaded: Duration) =
+        delay((unloaded.inWholeMicroseconds * load.slowness(uptime()) / MICROSECONDS_PER_MILLISECOND).roundToLong().milliseconds)
 
-    private fun age() = clock.elapsed() - startedAt
+    private fun uptime() = clock.elapsed() - readyAt
 
     private companion object {
         val PEER = Peer(PeerRole.ENGINE, "virtual")
-        val PLAIN_TIME = 5.milliseconds
-        val SILENCE_CHECK = 50.milliseconds
-        const val OK = 200
-        const val MICROSECONDS = 1_000
+        val PLAIN_CALL_TIME = 5.milliseconds
+        val STALL_POLL_INTERVAL = 50.milliseconds
+        const val STATUS_OK = 200
+        const val MICROSECONDS_PER_MILLISECOND = 1_000
     }
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualCaller.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualCaller.kt
@@ -1,5 +1,5 @@
 /**
- * A caller in virtual time that checks its answer.
+ * Calls to a simulated site that verify the response.
  */
 package lagoonrudder.standins.virtual
 
@@ -16,13 +16,13 @@
 import lagoonrudder.traffic.entry.CallerRequest
 import kotlin.time.Duration
 
-/** Collects an answer; each write takes [pause], as a slow reader would. */
+/** Records a response; each write is delayed by [pause], as with a slow reader. */
 class RecordingSink(
     private val clock: VirtualClock,
     private val pause: Duration,
 ) : AnswerSink {
     private val bytes = StringBuilder()
-    val times = mutableListOf<Duration>()
+    val writeTimes = mutableListOf<Duration>()
     var version: VersionId? = null
         private set
     var started = false
@@ -45,7 +45,7 @@
 
     override suspend fun write(data: ByteArray) {
         bytes.append(data.decodeToString())
-        times += clock.elapsed()
+        writeTimes += clock.elapsed()
         if (pause > Duration.ZERO) delay(pause)
     }
 
@@ -61,64 +61,64 @@
     }
 }
 
-/** Asks [entry] for text and judges the answer. */
-suspend fun VirtualSite.requestText(
+/** Requests generated text from [entry] and verifies the response. */
+suspend fun VirtualSite.fetchText(
     entry: VirtualEntry,
     call: TextCall,
 ): CallEnd {
     val sink = RecordingSink(clock, call.pause)
-    val started = clock.elapsed()
+    val startedAt = clock.elapsed()
     val body = "{\"prompt\":\"${call.prompt}\",\"max_tokens\":${call.tokens}}".encodeToByteArray()
     val request = CallerRequest("POST", call.path, call.token, null, "application/json", body)
-    val outcome = withTimeoutOrNull(call.limit) { entry.call(request, sink) } ?: return CallEnd.Broken("no end within ${call.limit}")
-    val took = clock.elapsed() - started
-    return judge(outcome, sink, started, took) { wholeAnswer(sink.version?.text.orEmpty(), call.prompt, call.tokens) }
+    val outcome = withTimeoutOrNull(call.limit) { entry.call(request, sink) } ?: return CallEnd.Broken("no outcome within ${call.limit}")
+    val total = clock.elapsed() - startedAt
+    return verify(outcome, sink, startedAt, total) { wholeAnswer(sink.version?.text.orEmpty(), call.prompt, call.tokens) }
 }
 
-/** Sends an order that may run at most once. */
+/** Sends an order, a call that must be executed at most once, and verifies the response. */
 suspend fun VirtualSite.sendOrder(
     entry: VirtualEntry,
     path: String,
     token: String,
     key: RepeatKey,
     body: String,
-    limit: Duration,
+    timeout: Duration,
 ): CallEnd {
     val sink = RecordingSink(clock, Duration.ZERO)
-    val started = clock.elapsed()
+    val startedAt = clock.elapsed()
     val request = CallerRequest("POST", path, token, key, "text/plain", body.encodeToByteArray())
-    val outcome = withTimeoutOrNull(limit) { entry.call(request, sink) } ?: return CallEnd.Broken("no end within $limit")
-    return judge(outcome, sink, started, clock.elapsed() - started) { "done $body" }
+    val outcome = withTimeoutOrNull(timeout) { entry.call(request, sink) } ?: return CallEnd.Broken("no outcome within $timeout")
+    return verify(outcome, sink, startedAt, clock.elapsed() - startedAt) { "done $body" }
 }
 
-private fun judge(
+private fun verify(
     outcome: Outcome,
     sink: RecordingSink,
-    started: Duration,
-    took: Duration,
+    startedAt: Duration,
+    total: Duration,
     expected: () -> String,
 ): CallEnd =
     when (outcome) {
         is Outcome.Completed -> {
-            val right = sink.finished && sink.text == expected()
-            val first = (sink.times.firstOrNull() ?: started) - started
-            val gaps = sink.times.zipWithNext { one, two -> two - one }
-            if (right) {
+            val correct = sink.finished && sink.text == expected()
+            val firstByte = (sink.writeTimes.firstOrNull() ?: startedAt) - startedAt
+            val gaps = sink.writeTimes.zipWithNext { previous, next -> next - previous }
+            if (correct) {
                 CallEnd.Whole(
                     sink.text,
                     sink.version?.text.orEmpty(),
-                    first,
-                    took,
+                    firstByte,
+                    total,
                     gaps,
                 )
             } else {
-                CallEnd.Wrong("length ${sink.text.length}")
+                CallEnd.Wrong("unexpected text of length ${sink.text.length}")
             }
         }
         is Outcome.Refused -> {
             val clean = !sink.started && !sink.finished
-            if (clean) CallEnd.NotRun(outcome.refusal.code, took, outcome.refusal.retryAfter) else CallEnd.Wrong("refused after a start")
+            if (clean) CallEnd.NotRun(outcome.refusal.code, total, outcome.refusal.retryAfter) else CallEnd.Wrong("refused mid-response")
         }
         is Outcome.Unknown -> CallEnd.Unknown(outcome.failure.describe())
-        is Outcome.Broken -> if (sink.finished) CallEnd.Wrong("broken after its end") else CallEnd.Broken(outcome.failure.describe())
+        is Outcome.Broken -> if (sink.finished) CallEnd.Wrong("broken after completion") else CallEnd.Broken(outcome.failure.describe())
     }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
@@ -1,8 +1,8 @@
 /**
- * The controllers and filters of many entry daemons and target daemons in virtual time, with fakes at their interfaces.
+ * A simulated site: the production controllers and filters of many entry daemons and target daemons, run in virtual time.
  *
- * Nothing here decides: the fakes are the clock, the connections and the back ends. Configurations are handed to each
- * process by the caller of this class, late or not at all.
+ * Only the clock, the connections and the back ends are fakes; all decisions are made by the production code. The user of this class
+ * publishes configurations to the daemons and may delay or withhold them for some.
  */
 package lagoonrudder.standins.virtual
 
@@ -84,7 +84,11 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Instant
 
-/** Time as the test scheduler keeps it, shifted by what a paused process has slept or a wrong clock shows. */
+/**
+ * The clock of the test scheduler.
+ *
+ * [now] is shifted by [skew], as it is on an instance whose clock is wrong or whose process was paused; [elapsed] is not.
+ */
 @OptIn(ExperimentalCoroutinesApi::class)
 class VirtualClock(
     private val scheduler: TestCoroutineScheduler,
@@ -100,23 +104,24 @@
     }
 }
 
-/** The policies of a virtual site. */
+/** The policies and fakes of a simulated site. */
 class VirtualOptions {
     var seed = 1
-    var choice: ChoicePolicy = ChoicePolicy.FreshRoom()
-    var limit: LimitPolicy = LimitPolicy.Adaptive()
+    var loadBalancing: ChoicePolicy = ChoicePolicy.FreshRoom()
+    var concurrencyLimit: LimitPolicy = LimitPolicy.Adaptive()
     var queue: QueuePolicy = QueuePolicy.WeightedFair
-    var readers: ReaderMemoryPolicy = ReaderMemoryPolicy.Windowed()
-    var repeats = RepeatPolicy()
+    var responseBuffers: ReaderMemoryPolicy = ReaderMemoryPolicy.Windowed()
+    var idempotency = RepeatPolicy()
     var engine = EngineTraits()
     var entriesEach = 2
     var latency: Duration = 2.milliseconds
     var faults: FaultInjector = FaultInjector { ExchangeFault.None }
 
-    /** Wraps the connections, for deliberate defects in tests. */
+    /** Wraps the client that entry daemons reach targets with, so that tests can inject deliberate defects. */
     var client: (TargetLink) -> TargetLink = { it }
 }
 
+/** An entry daemon in virtual time. */
 class VirtualEntry(
     val name: DaemonId,
     val domain: DomainId,
@@ -124,7 +129,7 @@
     private val chain: FilterChain<EntryCall>,
     private val clock: Clock,
 ) {
-    /** Whether it hears of configurations and reports. */
+    /** Whether the daemon receives configurations and target reports. */
     var reachable = true
 
     suspend fun call(
@@ -133,6 +138,7 @@
     ): Outcome = chain.run(EntryCall(request, sink, clock.elapsed()))
 }
 
+/** A target daemon in virtual time with its back end. */
 class VirtualTarget(
     val id: TargetId,
     val domain: DomainId,
@@ -142,11 +148,17 @@
     val reservations: Reservations,
     private val clock: Clock,
 ) {
+    /** Whether entry daemons can connect to the daemon and receive its reports. */
     var reachable = true
 
     fun now(): Duration = clock.elapsed()
 }
 
+/**
+ * Many daemons on one virtual clock and one [scheduler]; the same seed in the options gives the same run.
+ *
+ * Everything runs on the thread that advances [scheduler]. Invariant violations are collected in [violations].
+ */
 @OptIn(ExperimentalCoroutinesApi::class)
 class VirtualSite(
     val scheduler: TestCoroutineScheduler,
@@ -162,42 +174,42 @@
     val scope = CoroutineScope(job + dispatcher)
     private val thread = ControlThread.virtual(dispatcher, clock, invariants)
     private var generation = 0L
-    private var requests = 0
-    private var lives = 0
+    private var requestCount = 0
+    private var startedDaemons = 0
     private val client = options.client(VirtualTargetClient(scope, { targets[it] }, options.latency, options.faults))
     val targets = linkedMapOf<TargetId, VirtualTarget>()
     val entries = mutableListOf<VirtualEntry>()
     var revision = Revision.NONE
         private set
 
-    /** Builds every process with [objects] in force and starts their timers. */
+    /** Creates every daemon, publishes the first configuration to all and starts the report and timer loops. */
     fun start() {
         revision = Revision(1)
         objects.targets.values.forEach { startTarget(it) }
-        for (domain in objects.domains.keys) repeat(options.entriesEach) { entries += entry(domain, it) }
-        configureAll()
-        scope.launch { report() }
-        entries.forEach { scope.launch { tick(it) } }
+        for (domain in objects.domains.keys) repeat(options.entriesEach) { entries += createEntry(domain, it) }
+        deliverConfiguration()
+        scope.launch { reportLoop() }
+        entries.forEach { scope.launch { tickLoop(it) } }
     }
 
-    /** Puts [next] in force in every process for which [hears] holds. */
+    /** Publishes [next] under a new revision to the daemons whose name satisfies [receives]; the others keep what they have. */
     fun publish(
         next: ObjectSet,
-        hears: (String) -> Boolean = { true },
+        receives: (String) -> Boolean = { true },
     ) {
         objects = next
         revision = Revision(revision.number + 1)
-        configureAll(hears)
+        deliverConfiguration(receives)
     }
 
-    /** Hands the current set to everyone who has not got it. */
-    fun deliverToAll() = configureAll()
+    /** Delivers the current configuration to every reachable daemon, also to those that missed it. */
+    fun deliverToAll() = deliverConfiguration()
 
-    /** Replaces the daemon beside [target] by one with empty memory. */
+    /** Restarts the daemon of [target], which loses all its state; the back end keeps running. */
     fun restartTargetDaemon(target: TargetId) {
         val old = targets.getValue(target)
         startTarget(objects.targets.getValue(target), old.backEnd)
-        configureAll()
+        deliverConfiguration()
     }
 
     fun objects(): ObjectSet = objects
@@ -209,10 +221,10 @@
 
     private fun startTarget(
         target: OperatorObject.Target,
-        kept: VirtualBackEnd? = null,
+        existingBackEnd: VirtualBackEnd? = null,
     ) {
         val version = objects.fleets.getValue(target.fleet).version
-        val backEnd = kept ?: VirtualBackEnd(options.engine, clock, version)
+        val backEnd = existingBackEnd ?: VirtualBackEnd(options.engine, clock, version)
         val control = targetControl(target, version)
         control.switch.read(backEnd.engineState())
         val chain = FilterChain(targetFilters(control, backEnd, clock, invariants, EngineLimits()))
@@ -226,24 +238,24 @@
     ): TargetControl {
         val now = clock.elapsed()
         val holder = Holder(DaemonId(target.id.text), target.domain, RegionId(target.domain.text))
-        val startedAt = if (lives++ < objects.targets.size) clock.now() - options.repeats.memory * 2 else clock.now()
+        val startedAt = if (startedDaemons++ < objects.targets.size) clock.now() - options.idempotency.memory * 2 else clock.now()
         return TargetControl(
             thread = thread,
             clock = clock,
             invariants = invariants,
             self = target.id,
-            incarnation = IncarnationId("daemon-$lives"),
+            incarnation = IncarnationId("daemon-$startedDaemons"),
             configuration = ConfigurationController(invariants),
             membership = MembershipController(DaemonId(target.id.text)),
-            limits = LimitController(options.limit, invariants),
-            repeats = RepeatController(target.id, options.repeats, invariants, startedAt, now),
+            limits = LimitController(options.concurrencyLimit, invariants),
+            repeats = RepeatController(target.id, options.idempotency, invariants, startedAt, now),
             switch = SwitchController(target.id, now),
             weights = WeightController(holder, SourcePolicy.Striped, WeightBounds(), invariants),
             service = ServiceController(target.domain, target.id),
         ).also { check(version == null || objects.versions.containsKey(version)) }
     }
 
-    private fun entry(
+    private fun createEntry(
         domain: DomainId,
         number: Int,
     ): VirtualEntry {
@@ -255,16 +267,16 @@
                 domain = domain,
                 configuration = ConfigurationController(invariants),
                 membership = MembershipController(name),
-                routing = RoutingController(name.text, domain, options.choice, random),
+                routing = RoutingController(name.text, domain, options.loadBalancing, random),
                 admission = AdmissionController(options.queue, QueueBounds(), invariants),
-                readers = ReaderMemoryController(options.readers, invariants),
+                readers = ReaderMemoryController(options.responseBuffers, invariants),
                 service = ServiceController(domain, null),
                 retries = RetryBudget(),
             )
         val filters =
             entryFilters(
                 account = AccountFilter(control, clock) { _, _, _ -> },
-                identify = IdentifyFilter(control, clock, CompletionDecoder) { RequestId("request-${requests++}") },
+                identify = IdentifyFilter(control, clock, CompletionDecoder) { RequestId("request-${requestCount++}") },
                 admit = AdmitFilter(control),
                 relay = RelayFilter(control, clock, invariants),
                 send = SendFilter(control, client, clock, SendLimits()),
@@ -272,29 +284,29 @@
         return VirtualEntry(name, domain, control, FilterChain(filters), clock)
     }
 
-    private fun configureAll(hears: (String) -> Boolean = { true }) {
+    private fun deliverConfiguration(receives: (String) -> Boolean = { true }) {
         generation++
-        val set = SealedSet(revision, objects)
+        val snapshot = SealedSet(revision, objects)
         val instances = instances()
         for (target in targets.values) {
-            if (!hears(target.id.text)) continue
-            offer(target.control.configuration, set)
+            if (!receives(target.id.text)) continue
+            accept(target.control.configuration, snapshot)
             target.control.membership.replaceList(instances, generation)
             target.control.configured()
         }
         for (entry in entries) {
-            if (!hears(entry.name.text) || !entry.reachable) continue
-            offer(entry.control.configuration, set)
+            if (!receives(entry.name.text) || !entry.reachable) continue
+            accept(entry.control.configuration, snapshot)
             entry.control.membership.replaceList(instances, generation)
             entry.control.configured()
         }
     }
 
-    private fun offer(
+    private fun accept(
         configuration: ConfigurationController,
-        set: SealedSet,
+        snapshot: SealedSet,
     ) {
-        CheckedSet.ofWhole(set, configuration.current, PEER).fold({ error(it.describe()) }, { configuration.offer(it) })
+        CheckedSet.ofWhole(snapshot, configuration.current, PEER).fold({ error(it.describe()) }, { configuration.offer(it) })
         configuration.confirm()
     }
 
@@ -302,8 +314,8 @@
         targets.values.map { Instance(DaemonId(it.id.text), DaemonRole.TARGET, it.domain, it.id, ADDRESS, false) } +
             entries.map { Instance(it.name, DaemonRole.ENTRY, it.domain, null, ADDRESS, false) }
 
-    /** Reports of targets reach the entry daemons that follow them, as the heartbeats would. */
-    private suspend fun report() {
+    /** Delivers target reports to the entry daemons that route to the target, in place of heartbeats. */
+    private suspend fun reportLoop() {
         while (scope.isActive) {
             for (target in targets.values) {
                 target.backEnd.state(Duration.ZERO).fold(
@@ -315,24 +327,24 @@
                 )
                 target.control.publish()
             }
-            for (entry in entries) for (target in entry.control.routing.subset()) tell(entry, target.id)
+            for (entry in entries) for (target in entry.control.routing.subset()) deliverReport(entry, target.id)
             delay(REPORT_INTERVAL)
         }
     }
 
-    private fun tell(
+    private fun deliverReport(
         entry: VirtualEntry,
         target: TargetId,
     ) {
-        val found = targets[target]
-        if (found == null || !found.reachable || !entry.reachable) return entry.control.unlinked(target)
-        entry.control.reported(found.control.reported.value)
+        val source = targets[target]
+        if (source == null || !source.reachable || !entry.reachable) return entry.control.unlinked(target)
+        entry.control.reported(source.control.reported.value)
     }
 
-    private suspend fun tick(entry: VirtualEntry) {
+    private suspend fun tickLoop(entry: VirtualEntry) {
         while (scope.isActive) {
             entry.control.tick()
-            delay(TICK)
+            delay(TICK_INTERVAL)
         }
     }
 
@@ -340,11 +352,11 @@
         val PEER = Peer(PeerRole.PLATFORM, "virtual")
         val ADDRESS = Address(LOOPBACK, 1)
         val REPORT_INTERVAL = 200.milliseconds
-        val TICK = 100.milliseconds
+        val TICK_INTERVAL = 100.milliseconds
     }
 }
 
-/** Builds a site in virtual time; it is not started. */
+/** Creates a simulated site without starting it. */
 fun virtualSite(
     scheduler: TestCoroutineScheduler,
     objects: ObjectSet,
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualTargetClient.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualTargetClient.kt
@@ -1,5 +1,5 @@
 /**
- * Connections between entry daemons and target daemons in virtual time, with faults at every step of an exchange.
+ * A client of target daemons in virtual time that can inject a fault at any step of an exchange.
  */
 package lagoonrudder.standins.virtual
 
@@ -38,43 +38,49 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** What happens to one exchange. */
+/** The fault injected into one exchange between an entry daemon and a target daemon. */
 sealed class ExchangeFault {
     data object None : ExchangeFault()
 
-    /** The connection can't be opened: nothing is sent. */
+    /** The connection is refused and nothing is sent. */
     data object Refused : ExchangeFault()
 
-    /** The request is lost after it left; the target never sees it. */
+    /** The request is sent and lost; the target never receives it. */
     data object RequestLost : ExchangeFault()
 
-    /** The request arrives [late]. */
+    /** The request is delivered after an additional [delay]. */
     data class RequestDelayed(
-        val late: Duration,
+        val delay: Duration,
     ) : ExchangeFault()
 
-    /** The target runs the request and its answer breaks after [events] events. */
+    /** The target executes the request and the connection is lost after [events] events of the response. */
     data class ResponseAborted(
         val events: Int,
     ) : ExchangeFault()
 
-    /** The answer falls silent after [events] events. */
+    /** The response stalls after [events] events while the connection stays open. */
     data class ResponseStalled(
         val events: Int,
     ) : ExchangeFault()
 
-    /** The answer to another request comes first. */
+    /** The head of the response carries the id of another request. */
     data object ResponseMismatched : ExchangeFault()
 
-    /** A byte of the answer is changed on the way. */
+    /** A byte of each data event of the response is changed in transit, and the checksum is left as it was. */
     data object ResponseCorrupted : ExchangeFault()
 }
 
-/** Draws the fault of each exchange. */
+/** Chooses the fault of each exchange. */
 fun interface FaultInjector {
     fun next(target: TargetId): ExchangeFault
 }
 
+/**
+ * Connects entry daemons to the simulated target daemons, with [latency] in each direction.
+ *
+ * A call to a target that is unknown or unreachable fails at once. A stream of events is interrupted when its target is restarted or
+ * becomes unreachable.
+ */
 class VirtualTargetClient(
     private val scope: CoroutineScope,
     private val targets: (TargetId) -> VirtualTarget?,
@@ -85,18 +91,18 @@
         target: Instance,
         request: ReserveRequest,
         limit: Duration,
-    ): Either<Failure, RepeatDecision> = ask(target, limit, Step.GUARD_REPEATS) { it.reservations.reserve(request) }
+    ): Either<Failure, RepeatDecision> = exchange(target, limit, Step.GUARD_REPEATS) { it.reservations.reserve(request) }
 
     override suspend fun surrender(
         target: Instance,
         request: SurrenderRequest,
         limit: Duration,
-    ): Either<Failure, Surrender> = ask(target, limit, Step.GUARD_REPEATS) { it.reservations.surrender(request) }
+    ): Either<Failure, Surrender> = exchange(target, limit, Step.GUARD_REPEATS) { it.reservations.surrender(request) }
 
     override suspend fun switchReport(
         target: Instance,
         limit: Duration,
-    ): Either<Failure, SwitchReport> = ask(target, limit, Step.ORDER_ENGINE) { it.control.switch.report() }
+    ): Either<Failure, SwitchReport> = exchange(target, limit, Step.ORDER_ENGINE) { it.control.switch.report() }
 
     override fun reports(target: Instance): Flow<Either<Failure, TargetReport>> = flow { }
 
@@ -109,84 +115,84 @@
         channelFlow {
             val fault = faults.next(idOf(target))
             val peer = peerOf(target)
-            if (fault is ExchangeFault.Refused || find(target) == null) return@channelFlow send(refused(peer, Step.CONNECT).left())
+            if (fault is ExchangeFault.Refused || findReachable(target) == null) return@channelFlow send(refused(peer, Step.CONNECT).left())
             if (fault is ExchangeFault.RequestLost) awaitCancellation()
-            delay(latency + if (fault is ExchangeFault.RequestDelayed) fault.late else Duration.ZERO)
-            val found = find(target) ?: return@channelFlow send(broken(peer).left())
+            delay(latency + if (fault is ExchangeFault.RequestDelayed) fault.delay else Duration.ZERO)
+            val destination = findReachable(target) ?: return@channelFlow send(interrupted(peer).left())
             var events = 0
             val call =
-                TargetCall(request, found.now()) { event ->
+                TargetCall(request, destination.now()) { event ->
                     delay(latency)
-                    if (find(target) !== found) throw LostConnection()
-                    pass(fault, events++, event) { send(it.right()) }
+                    if (findReachable(target) !== destination) throw ConnectionLostException()
+                    deliver(fault, events++, event) { send(it.right()) }
                 }
-            val outcome = runSafely(found, call)
+            val outcome = runUntilConnectionLost(destination, call)
             when (outcome) {
-                null -> send(broken(peer).left())
+                null -> send(interrupted(peer).left())
                 is Outcome.Completed -> Unit
-                is Outcome.Refused -> send(RunEvent.NotRun(outcome.refusal, found.control.limits.room()).right())
-                is Outcome.Unknown, is Outcome.Broken -> send(broken(peer).left())
+                is Outcome.Refused -> send(RunEvent.NotRun(outcome.refusal, destination.control.limits.room()).right())
+                is Outcome.Unknown, is Outcome.Broken -> send(interrupted(peer).left())
             }
         }.buffer(Channel.RENDEZVOUS)
 
-    /** Null when the connection broke while the answer was under way. */
-    private suspend fun runSafely(
+    /** Runs [call] and returns null if the connection was lost while the response was sent. */
+    private suspend fun runUntilConnectionLost(
         target: VirtualTarget,
         call: TargetCall,
     ): Outcome? =
         try {
             target.chain.run(call)
-        } catch (_: LostConnection) {
+        } catch (_: ConnectionLostException) {
             null
         }
 
-    private suspend fun pass(
+    private suspend fun deliver(
         fault: ExchangeFault,
-        number: Int,
+        index: Int,
         event: RunEvent,
         send: suspend (RunEvent) -> Unit,
     ) {
         when (fault) {
-            is ExchangeFault.ResponseAborted -> if (number >= fault.events) throw LostConnection()
-            is ExchangeFault.ResponseStalled -> if (number >= fault.events) awaitCancellation()
+            is ExchangeFault.ResponseAborted -> if (index >= fault.events) throw ConnectionLostException()
+            is ExchangeFault.ResponseStalled -> if (index >= fault.events) awaitCancellation()
             ExchangeFault.ResponseMismatched -> if (event is RunEvent.Head) return send(event.copy(request = RequestId("other")))
-            ExchangeFault.ResponseCorrupted -> if (event is RunEvent.Bytes) return send(corrupted(event))
+            ExchangeFault.ResponseCorrupted -> if (event is RunEvent.Bytes) return send(corrupt(event))
             ExchangeFault.None, ExchangeFault.Refused, ExchangeFault.RequestLost, is ExchangeFault.RequestDelayed -> Unit
         }
         send(event)
     }
 
-    private fun corrupted(event: RunEvent.Bytes): RunEvent {
+    private fun corrupt(event: RunEvent.Bytes): RunEvent {
         val data = event.data.copyOf()
         if (data.isNotEmpty()) data[0] = (data[0] + 1).toByte()
         return RunEvent.Bytes(event.offset, data, event.checksum)
     }
 
-    private suspend fun <T> ask(
+    private suspend fun <T> exchange(
         target: Instance,
         limit: Duration,
         step: Step,
-        question: suspend (VirtualTarget) -> T,
+        handler: suspend (VirtualTarget) -> T,
     ): Either<Failure, T> {
         val fault = faults.next(idOf(target))
         val peer = peerOf(target)
-        val found = find(target)
-        if (fault is ExchangeFault.Refused || found == null) return refused(peer, step).left()
-        val answering =
+        val destination = findReachable(target)
+        if (fault is ExchangeFault.Refused || destination == null) return refused(peer, step).left()
+        val pending =
             scope.async {
                 if (fault is ExchangeFault.RequestLost) awaitCancellation()
-                delay(latency + if (fault is ExchangeFault.RequestDelayed) fault.late else Duration.ZERO)
-                val answer = question(found)
+                delay(latency + if (fault is ExchangeFault.RequestDelayed) fault.delay else Duration.ZERO)
+                val response = handler(destination)
                 if (fault is ExchangeFault.ResponseAborted || fault is ExchangeFault.ResponseStalled) awaitCancellation()
                 delay(latency)
-                answer
+                response
             }
-        val answer = withTimeoutOrNull(limit) { answering.await() }
-        if (answer == null) answering.cancel()
-        return answer?.right() ?: Failure.TimedOut(step, peer, limit).left()
+        val response = withTimeoutOrNull(limit) { pending.await() }
+        if (response == null) pending.cancel()
+        return response?.right() ?: Failure.TimedOut(step, peer, limit).left()
     }
 
-    private fun find(target: Instance): VirtualTarget? = target.target?.let(targets)?.takeIf { it.reachable }
+    private fun findReachable(target: Instance): VirtualTarget? = target.target?.let(targets)?.takeIf { it.reachable }
 
     private fun idOf(target: Instance): TargetId = checkNotNull(target.target)
 
@@ -197,32 +203,32 @@
         step: Step,
     ): Failure = Failure.Unreachable(step, peer, "connection refused")
 
-    private fun broken(peer: Peer): Failure = Failure.Interrupted(Step.RUN, peer, "connection broke")
+    private fun interrupted(peer: Peer): Failure = Failure.Interrupted(Step.RUN, peer, "connection lost")
 }
 
-private class LostConnection : Exception()
+private class ConnectionLostException : Exception()
 
-/** Draws faults at random: each exchange has one with probability [share]. */
+/** Injects a fault, chosen uniformly by kind, into each exchange with probability [probability]. */
 class RandomFaultInjector(
     private val random: Random,
-    var share: Double,
+    var probability: Double,
 ) : FaultInjector {
     override fun next(target: TargetId): ExchangeFault {
-        if (random.nextDouble() >= share) return ExchangeFault.None
-        return when (random.nextInt(KINDS)) {
+        if (random.nextDouble() >= probability) return ExchangeFault.None
+        return when (random.nextInt(FAULT_KINDS)) {
             0 -> ExchangeFault.Refused
             1 -> ExchangeFault.RequestLost
-            2 -> ExchangeFault.RequestDelayed(random.nextInt(LATEST_MILLISECONDS).milliseconds)
-            3 -> ExchangeFault.ResponseAborted(random.nextInt(MOST_EVENTS))
-            4 -> ExchangeFault.ResponseStalled(random.nextInt(MOST_EVENTS))
+            2 -> ExchangeFault.RequestDelayed(random.nextInt(MAX_DELAY_MILLISECONDS).milliseconds)
+            3 -> ExchangeFault.ResponseAborted(random.nextInt(MAX_EVENTS))
+            4 -> ExchangeFault.ResponseStalled(random.nextInt(MAX_EVENTS))
             5 -> ExchangeFault.ResponseMismatched
             else -> ExchangeFault.ResponseCorrupted
         }
     }
 
     private companion object {
-        const val KINDS = 7
-        const val LATEST_MILLISECONDS = 4_000
-        const val MOST_EVENTS = 6
+        const val FAULT_KINDS = 7
+        const val MAX_DELAY_MILLISECONDS = 4_000
+        const val MAX_EVENTS = 6
     }
 }
