--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ConfigurationMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ConfigurationMeasure.kt
@@ -1,6 +1,6 @@
 /**
- * The time until a change is in force everywhere, platform calls and processor time, for daemons of one failure domain in
- * one process on loopback.
+ * Measures how long a configuration change takes to become active in every daemon, and the platform calls and processor time that it
+ * costs, with all daemons of one failure domain in one process over loopback.
  */
 package lagoonrudder.standins.measure
 
@@ -23,40 +23,40 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-private const val CHANGES = 10
-private val watch = 2.milliseconds
-private val pause = 700.milliseconds
-private val quiet = 12.seconds
-private val mostTime = 2.seconds
+private const val CHANGE_COUNT = 10
+private val pollInterval = 2.milliseconds
+private val changeInterval = 700.milliseconds
+private val idlePeriod = 12.seconds
+private val maxActivationTime = 2.seconds
 
-private data class Seen(
+private data class Observation(
     val daemons: Int,
-    val times: List<Duration>,
+    val activationTimes: List<Duration>,
     val calls: Long,
-    val idleCore: Double,
-    val changeCore: Duration,
+    val idleCores: Double,
+    val changeProcessorTime: Duration,
     val reverts: Int,
 )
 
 fun measureConfiguration(options: MeasureOptions): Verdict {
     val largest = options.int("largest", 100)
-    val seen = listOf(10, largest).distinct().map { runBlocking { observe(it) } }
-    seen.forEach { println(lineOf(it)) }
-    val last = seen.last()
-    val callsGrow = last.calls > seen.first().calls * 2
-    val passed = percentile(last.times, 0.99) < mostTime && last.reverts == 0 && !callsGrow
+    val observations = listOf(10, largest).distinct().map { runBlocking { observe(it) } }
+    observations.forEach { println(lineOf(it)) }
+    val last = observations.last()
+    val callsGrow = last.calls > observations.first().calls * 2
+    val passed = percentile(last.activationTimes, 0.99) < maxActivationTime && last.reverts == 0 && !callsGrow
     return Verdict(lineOf(last), passed)
 }
 
-private fun lineOf(seen: Seen): String =
+private fun lineOf(observation: Observation): String =
     figures {
-        add("daemons", seen.daemons)
-        add("changes", CHANGES)
-        listOf(0.5, 0.99, 1.0).forEach { add("in-force-p${(it * 100).toInt()}", percentile(seen.times, it)) }
-        add("platform-calls-for-a-change", seen.calls.toDouble() / CHANGES)
-        add("idle-core-percent-of-a-daemon", seen.idleCore * 100 / seen.daemons)
-        add("processor-for-a-change-of-a-daemon", seen.changeCore / seen.daemons / CHANGES)
-        add("reverts", seen.reverts)
+        add("daemons", observation.daemons)
+        add("changes", CHANGE_COUNT)
+        listOf(0.5, 0.99, 1.0).forEach { add("in-force-p${(it * 100).toInt()}", percentile(observation.activationTimes, it)) }
+        add("platform-calls-for-a-change", observation.calls.toDouble() / CHANGE_COUNT)
+        add("idle-core-percent-of-a-daemon", observation.idleCores * 100 / observation.daemons)
+        add("processor-for-a-change-of-a-daemon", observation.changeProcessorTime / observation.daemons / CHANGE_COUNT)
+        add("reverts", observation.reverts)
     }
 
 private fun objects(weight: Int): ObjectSet =
@@ -67,28 +67,28 @@
         repeat(200) { customer("customer-$it") }
     }
 
-private suspend fun observe(daemons: Int): Seen {
+private suspend fun observe(daemons: Int): Observation {
     val clock = SystemClock()
     return site { entriesEach = 0 }.use { site ->
         site.publish(objects(1))
         repeat(daemons) { site.startEntry(DomainId("ost"), it) }
         site.awaitReady()
-        delay(quiet)
-        val idle = processorOver { delay(quiet) }
+        delay(idlePeriod)
+        val idle = processorTimeOf { delay(idlePeriod) }
         val callsBefore = site.platform.calls.get()
-        val times = mutableListOf<Duration>()
-        val busy = processorOver { repeat(CHANGES) { times += change(site, it + 2, clock) } }
+        val activationTimes = mutableListOf<Duration>()
+        val changing = processorTimeOf { repeat(CHANGE_COUNT) { activationTimes += publishChange(site, it + 2, clock) } }
         val calls = site.platform.calls.get() - callsBefore
-        val expected = Revision(CHANGES + 1L)
+        val expected = Revision(CHANGE_COUNT + 1L)
         val reverts = site.daemons.values.count { it.daemon.core.configuration.current.revision != expected }
-        val idleCore = idle.toDouble(DurationUnit.SECONDS) / quiet.toDouble(DurationUnit.SECONDS)
-        val extra = busy - idle * (pause * CHANGES / quiet)
-        Seen(daemons, times, calls, idleCore, extra.coerceAtLeast(Duration.ZERO), reverts + site.violations.size)
+        val idleCores = idle.toDouble(DurationUnit.SECONDS) / idlePeriod.toDouble(DurationUnit.SECONDS)
+        val changeOverhead = changing - idle * (changeInterval * CHANGE_COUNT / idlePeriod)
+        Observation(daemons, activationTimes, calls, idleCores, changeOverhead.coerceAtLeast(Duration.ZERO), reverts + site.violations.size)
     }
 }
 
-/** Publishes a change and returns when it came into force in each daemon. */
-private suspend fun change(
+/** Publishes a change and returns the time until it became active in each daemon. */
+private suspend fun publishChange(
     site: Site,
     weight: Int,
     clock: Clock,
@@ -96,26 +96,26 @@
     val started = clock.elapsed()
     val revision = site.publish(objects(weight))
     val open = site.daemons.values.toMutableList()
-    val times = mutableListOf<Duration>()
+    val activationTimes = mutableListOf<Duration>()
     while (open.isNotEmpty()) {
-        val done = open.filter { it.daemon.core.configuration.current.revision >= revision }
-        open -= done.toSet()
+        val activated = open.filter { it.daemon.core.configuration.current.revision >= revision }
+        open -= activated.toSet()
         val now = clock.elapsed() - started
-        times += done.map { now }
-        delay(watch)
+        activationTimes += activated.map { now }
+        delay(pollInterval)
     }
-    delay(pause)
-    return times
+    delay(changeInterval)
+    return activationTimes
 }
 
-private suspend fun processorOver(block: suspend () -> Unit): Duration {
-    val before = processor()
+private suspend fun processorTimeOf(block: suspend () -> Unit): Duration {
+    val before = processorTime()
     block()
-    return processor() - before
+    return processorTime() - before
 }
 
-/** The processor time of this process so far. */
-private fun processor(): Duration {
+/** The processor time that this process has used. */
+private fun processorTime(): Duration {
     val bean = ManagementFactory.getOperatingSystemMXBean() as OperatingSystemMXBean
     return bean.processCpuTime.nanoseconds
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ControlMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ControlMeasure.kt
@@ -1,5 +1,5 @@
 /**
- * The cost of decisions on one thread, and its slope with the size of the published set.
+ * Measures the cost of decisions on the control thread and how it grows with the size of the configuration.
  */
 package lagoonrudder.standins.measure
 
@@ -49,8 +49,8 @@
 
 private const val WARM_UP = 20_000
 private const val REQUESTS = 100_000
-private const val CHANGES = 40
-private const val MOST_MICROSECONDS = 100.0
+private const val CHANGE_COUNT = 40
+private const val MAX_MICROSECONDS = 100.0
 private const val REGIONS = 9
 private const val DOMAINS = 34
 private val sizes = listOf(1_500, 6_000, 12_000)
@@ -59,16 +59,16 @@
 
 fun measureControl(options: MeasureOptions): Verdict {
     val seed = options.int("seed", 1)
-    val perRequest = listOf(1_500, 12_000).associateWith { requestCost(setOf(it), seed) }
-    for ((targets, cost) in perRequest) println("targets=$targets ${figures { add("request-decisions-microseconds", cost) }}")
+    val requestCosts = listOf(1_500, 12_000).associateWith { requestCost(configurationOf(it), seed) }
+    for ((targets, cost) in requestCosts) println("targets=$targets ${figures { add("request-decisions-microseconds", cost) }}")
     val changes = sizes.map { changeCost(it) }
     changes.forEach { println(it) }
-    val worst = perRequest.values.max()
-    return Verdict(figures { add("request-decisions-microseconds", worst) } + " " + changes.last(), worst < MOST_MICROSECONDS)
+    val maxCost = requestCosts.values.max()
+    return Verdict(figures { add("request-decisions-microseconds", maxCost) } + " " + changes.last(), maxCost < MAX_MICROSECONDS)
 }
 
-/** A set of [targets] workers in the regions and failure domains of the two-year target. */
-private fun setOf(targets: Int): ObjectSet =
+/** A configuration of [targets] workers in the [REGIONS] regions and [DOMAINS] failure domains of the site planned for two years ahead. */
+private fun configurationOf(targets: Int): ObjectSet =
     objectSet {
         repeat(REGIONS) { region("r$it", origin = it == 0) }
         for (first in 0 until REGIONS) for (second in first + 1 until REGIONS) link("r$first", "r$second", 2_250_000)
@@ -81,7 +81,7 @@
         repeat(13) { route("route-$it", "/v1/route-$it", "fleet-$it") }
     }
 
-/** Microseconds of the control thread for one request: enter, choose, send off, answer, end. */
+/** Microseconds that the control thread spends on one request: queueing, routing, dispatch, the load update and completion. */
 private fun requestCost(
     objects: ObjectSet,
     seed: Int,
@@ -93,12 +93,12 @@
     for (target in routing.subset()) {
         routing.reported(TargetReport(target.id, IncarnationId("i"), Room(64, 0, 1_000_000), VersionId("m-1"), true), Duration.ZERO)
     }
-    repeat(WARM_UP) { oneRequest(dispatch, routing, it) }
-    val took = measureTime { repeat(REQUESTS) { oneRequest(dispatch, routing, it) } }
-    return took.toDouble(DurationUnit.MICROSECONDS) / REQUESTS
+    repeat(WARM_UP) { processRequest(dispatch, routing, it) }
+    val elapsed = measureTime { repeat(REQUESTS) { processRequest(dispatch, routing, it) } }
+    return elapsed.toDouble(DurationUnit.MICROSECONDS) / REQUESTS
 }
 
-private fun oneRequest(
+private fun processRequest(
     dispatch: DispatchController,
     routing: RoutingController,
     number: Int,
@@ -106,52 +106,52 @@
     val now = 1.milliseconds * (number % 1_000)
     val fleet = FleetId("fleet-${number % 13}")
     val request = RequestId("r$number")
-    val waiting = Waiting(request, QueueLine(fleet, null), CustomerId("customer-${number % 100}"), 1, 1, 100, 500, now + 10.seconds)
-    dispatch.enter(waiting, Need(fleet, null, 100, 500, number % 50, emptySet()), now)
-    for (sent in dispatch.pump(now)) {
-        if (sent !is Dispatched.Go) continue
-        routing.roomSeen(sent.target, Room(64, 1, 1_000_000), now)
-        dispatch.ended(waiting, sent.target, failed = false, Duration.ZERO, now)
+    val queued = Waiting(request, QueueLine(fleet, null), CustomerId("customer-${number % 100}"), 1, 1, 100, 500, now + 10.seconds)
+    dispatch.enter(queued, Need(fleet, null, 100, 500, number % 50, emptySet()), now)
+    for (result in dispatch.pump(now)) {
+        if (result !is Dispatched.Go) continue
+        routing.roomSeen(result.target, Room(64, 1, 1_000_000), now)
+        dispatch.ended(queued, result.target, failed = false, Duration.ZERO, now)
     }
 }
 
-/** What one changed target costs a daemon that has [targets] targets in force. */
+/** Measures what a change of one target costs a daemon whose configuration has [targets] targets. */
 private fun changeCost(targets: Int): String {
     val controller = ConfigurationController(invariants)
-    val objects = setOf(targets)
+    val objects = configurationOf(targets)
     val routing = RoutingController("entry-1", DomainId("d0"), ChoicePolicy.FreshRoom(), Random(1))
-    val before = usedMemory()
+    val memoryBefore = usedMemory()
     controller.offer(CheckedSet.ofWhole(SealedSet(Revision(1), objects), controller.current, peer).getOrElse { error(it.describe()) })
-    var off = Duration.ZERO
-    var on = Duration.ZERO
+    var checkTime = Duration.ZERO
+    var applyTime = Duration.ZERO
     var bytes = 0
-    repeat(CHANGES) { number ->
-        val changes = change(controller.current, number)
+    repeat(CHANGE_COUNT) { number ->
+        val changes = changeTarget(controller.current, number)
         bytes = writeChanges(changes).length
         check(startsFrom(changes, controller.current))
         var checked: CheckedSet? = null
-        off = measureTime { checked = CheckedSet.ofChanges(changes, controller.current, peer).getOrElse { error(it.describe()) } }
-        on =
+        checkTime = measureTime { checked = CheckedSet.ofChanges(changes, controller.current, peer).getOrElse { error(it.describe()) } }
+        applyTime =
             measureTime {
                 controller.offer(checkNotNull(checked))
                 routing.configure(controller.current.objects, 24)
             }
     }
-    val live = (0 until targets / DOMAINS).map { DaemonId("daemon-$it") }
-    val spread = SpreadController(live.first(), SpreadPolicy.Tree(), Random(1))
-    val tree = measureTime { repeat(100) { spread.children(Revision(it.toLong()), live) } } / 100
+    val peers = (0 until targets / DOMAINS).map { DaemonId("daemon-$it") }
+    val dissemination = SpreadController(peers.first(), SpreadPolicy.Tree(), Random(1))
+    val treeTime = measureTime { repeat(100) { dissemination.children(Revision(it.toLong()), peers) } } / 100
     return figures {
         add("targets", targets)
-        add("check-off-thread", off)
-        add("put-in-force-on-thread", on)
-        add("spread-on-thread", tree)
+        add("check-off-thread", checkTime)
+        add("put-in-force-on-thread", applyTime)
+        add("spread-on-thread", treeTime)
         add("change-bytes", bytes)
         add("whole-bytes", writeWhole(controller.current).length)
-        add("state-megabytes", (usedMemory() - before) / 1e6)
+        add("state-megabytes", (usedMemory() - memoryBefore) / 1e6)
     }
 }
 
-private fun change(
+private fun changeTarget(
     set: SealedSet,
     number: Int,
 ): SealedChanges {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/Figures.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/Figures.kt
@@ -1,12 +1,12 @@
 /**
- * The lines of figures that measurements print.
+ * The options of measurements and the lines of key=value pairs that they print.
  */
 package lagoonrudder.standins.measure
 
 import kotlin.time.Duration
 import kotlin.time.DurationUnit
 
-/** Collects key=value pairs in order. */
+/** A line of key=value pairs in the order in which they were added; durations are printed in milliseconds. */
 class Figures {
     private val pairs = mutableListOf<String>()
 
@@ -34,26 +34,26 @@
     override fun toString(): String = pairs.joinToString(" ")
 }
 
-/** One line of figures. */
+/** Returns the line of key=value pairs that [build] adds. */
 fun figures(build: Figures.() -> Unit): String = Figures().apply(build).toString()
 
-/** What a measurement found: its last line and whether its targets hold. */
+/** The result of a measurement: its summary line and whether its thresholds were met. */
 data class Verdict(
     val line: String,
     val passed: Boolean,
 )
 
-/** Options such as --seed 7 in the words after a command. */
+/** The options of a measurement, such as `--seed 7`, parsed from its command-line arguments. */
 class MeasureOptions(
-    private val words: List<String>,
+    private val arguments: List<String>,
 ) {
     fun long(
         name: String,
         default: Long,
     ): Long {
-        val index = words.indexOf("--$name")
+        val index = arguments.indexOf("--$name")
         if (index < 0) return default
-        return words.getOrNull(index + 1)?.toLongOrNull() ?: throw InvalidOptionException("option --$name: expected a whole number")
+        return arguments.getOrNull(index + 1)?.toLongOrNull() ?: throw InvalidOptionException("option --$name: expected an integer")
     }
 
     fun int(
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/LinkModel.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/LinkModel.kt
@@ -1,11 +1,11 @@
 /**
- * Links as arithmetic on queues: a transfer ends when the slowest of the links it crosses has sent it after all before it.
+ * Network links modelled as FIFO queues: a transfer ends when the slowest link on its path has sent it, after all earlier transfers.
  */
 package lagoonrudder.standins.measure
 
 import kotlin.math.max
 
-/** One direction of a link; times in seconds, rates in bytes a second. */
+/** One direction of a network link; times in seconds, [rate] in bytes per second. */
 class Link(
     val rate: Double,
 ) {
@@ -13,7 +13,7 @@
     var bytes = 0.0
         private set
 
-    /** Takes a transfer that starts at [now] and returns when its last byte is through. */
+    /** Queues a transfer of [size] bytes that starts at [now] and returns the time at which its last byte has been sent. */
     fun send(
         size: Double,
         now: Double,
@@ -24,7 +24,12 @@
     }
 }
 
-/** The rates of a site, from the users' figures: what a link carries, in copies of the weights, within the time allowed. */
+/**
+ * The link rates of a site in bytes per second.
+ *
+ * The origin and each instance may send [originCopies] and [instanceCopies] copies of the weights within [allowedSeconds]. Between
+ * two regions, weights may use [weightShare] of [regionBytesPerSecond].
+ */
 data class LinkRates(
     val copyBytes: Double = 500e6,
     val allowedSeconds: Double = 240.0,
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/Measure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/Measure.kt
@@ -1,14 +1,15 @@
 /**
- * The measurements of the project: bin/measure NAME [--seed N] [OPTION ...].
+ * The command line of the measurements: `bin/measure NAME [--seed N] [OPTION ...]`.
  *
- * Each ends with one line of key=value figures and a verdict, and exits with 0 when its targets hold and 1 otherwise.
+ * Each prints a summary line of key=value pairs with a verdict last. The exit code is 0 if its thresholds were met, 1 if not, and 2 on
+ * invalid arguments.
  */
 package lagoonrudder.standins.measure
 
 import lagoonrudder.standins.allowManyServers
 import kotlin.system.exitProcess
 
-private const val EXIT_WRONG_INPUT = 2
+private const val EXIT_INVALID_INPUT = 2
 
 private val measurements: Map<String, (MeasureOptions) -> Verdict> =
     mapOf(
@@ -24,18 +25,18 @@
 fun main(arguments: Array<String>) {
     allowManyServers()
     val name = arguments.firstOrNull()
-    val measurement = measurements[name] ?: wrongInput("expected one of ${measurements.keys.joinToString(", ")}")
+    val measurement = measurements[name] ?: exitInvalid("expected one of ${measurements.keys.joinToString(", ")}")
     val verdict =
         try {
             measurement(MeasureOptions(arguments.drop(1)))
-        } catch (wrong: InvalidOptionException) {
-            wrongInput(wrong.message.orEmpty())
+        } catch (invalid: InvalidOptionException) {
+            exitInvalid(invalid.message.orEmpty())
         }
     println("measure=$name ${verdict.line} verdict=${if (verdict.passed) "holds" else "broken"}")
     exitProcess(if (verdict.passed) 0 else 1)
 }
 
-private fun wrongInput(message: String): Nothing {
+private fun exitInvalid(message: String): Nothing {
     System.err.println("measure: $message")
-    exitProcess(EXIT_WRONG_INPUT)
+    exitProcess(EXIT_INVALID_INPUT)
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/OnceMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/OnceMeasure.kt
@@ -1,6 +1,7 @@
 /**
- * Orders that may run at most once, in virtual time, with a fault at every step: lost, late, broken and crossed exchanges,
- * repeats through other entry daemons, owners that are replaced, and failure domains that leave and return.
+ * Measures whether orders that must be executed at most once are, in virtual time and with faults at every step: lost, delayed, aborted
+ * and mismatched exchanges, retries through other entry daemons, restarts of the owners of keys, and failure domains that are taken out
+ * of service and returned.
  */
 package lagoonrudder.standins.measure
 
@@ -23,21 +24,21 @@
 
 private const val ORDERS_PER_SECOND = 40.0
 private const val FAULT_SHARE = 0.15
-private const val MOST_REPEATS = 3
+private const val MAX_ATTEMPTS = 3
 private val domains = listOf("ost", "west", "sued")
 
-/** What became of the orders of a run. */
+/** The outcomes of the orders of a run, by order. */
 class AtMostOnceResult {
-    val tries = mutableMapOf<String, MutableList<CallEnd>>()
+    val responses = mutableMapOf<String, MutableList<CallEnd>>()
     var doubleRuns = 0
     var falseNotRuns = 0
     var wrong = 0
     var violations = 0
 
-    fun count(which: (CallEnd) -> Boolean): Int = tries.values.sumOf { ends -> ends.count(which) }
+    fun count(which: (CallEnd) -> Boolean): Int = responses.values.sumOf { orderResponses -> orderResponses.count(which) }
 }
 
-/** The objects of the measurement, with [out] taken out of service. */
+/** The configuration of the measurement, with the failure domain [out] taken out of service. */
 private fun objects(out: String?): ObjectSet =
     objectSet {
         domains.forEachIndexed { index, name ->
@@ -50,14 +51,14 @@
         route("fees", "/v1/fees", "ledger", deadline = 4.seconds, idempotent = false)
     }
 
-/** Runs orders for [seconds] of virtual time with faults drawn from [seed]. */
+/** Sends orders for [seconds] of virtual time with faults derived from [seed]; [build] may inject a deliberate defect. */
 fun runAtMostOnce(
     seed: Int,
     seconds: Int,
     faultShare: Double = FAULT_SHARE,
     build: VirtualOptions.() -> Unit = {},
 ): AtMostOnceResult {
-    val result = AtMostOnceResult()
+    val run = AtMostOnceResult()
     val random = Random(seed)
     val site =
         runSimulation(objects(null), (seconds + 20).seconds, {
@@ -65,87 +66,87 @@
             faults = RandomFaultInjector(Random(seed), faultShare)
             build(this)
         }) {
-            scope.launch { disturb(random, seconds) }
-            poissonArrivals(Random(seed + 1), ORDERS_PER_SECOND, seconds.seconds) { order(it, seed, result) }
+            scope.launch { injectFaults(random, seconds) }
+            poissonArrivals(Random(seed + 1), ORDERS_PER_SECOND, seconds.seconds) { sendWithRetries(it, seed, run) }
         }
-    judge(site, result)
-    return result
+    evaluate(site, run)
+    return run
 }
 
 fun measureAtMostOnce(options: MeasureOptions): Verdict {
     val seed = options.int("seed", 1)
     val runs = options.int("runs", 10)
     val seconds = options.int("seconds", 260)
-    val results = (seed until seed + runs).map { runAtMostOnce(it, seconds).also { result -> println("seed=$it ${lineOf(listOf(result))}") } }
+    val results = (seed until seed + runs).map { runAtMostOnce(it, seconds).also { run -> println("seed=$it ${lineOf(listOf(run))}") } }
     val passed = results.all { it.doubleRuns == 0 && it.falseNotRuns == 0 && it.wrong == 0 && it.violations == 0 }
     return Verdict("seed=$seed runs=$runs ${lineOf(results)}", passed)
 }
 
 private fun lineOf(results: List<AtMostOnceResult>): String =
     figures {
-        add("orders", results.sumOf { it.tries.size })
-        add("calls", results.sumOf { result -> result.count { true } })
-        add("done", results.sumOf { result -> result.count { it is CallEnd.Whole } })
-        add("not-run", results.sumOf { result -> result.count { it is CallEnd.NotRun } })
-        for ((code, count) in codes(results)) add("not-run-$code", count)
-        add("unknown", results.sumOf { result -> result.count { it is CallEnd.Unknown } })
-        add("broken", results.sumOf { result -> result.count { it is CallEnd.Broken } })
+        add("orders", results.sumOf { it.responses.size })
+        add("calls", results.sumOf { run -> run.count { true } })
+        add("done", results.sumOf { run -> run.count { it is CallEnd.Whole } })
+        add("not-run", results.sumOf { run -> run.count { it is CallEnd.NotRun } })
+        for ((code, count) in refusalCodes(results)) add("not-run-$code", count)
+        add("unknown", results.sumOf { run -> run.count { it is CallEnd.Unknown } })
+        add("broken", results.sumOf { run -> run.count { it is CallEnd.Broken } })
         add("wrong", results.sumOf { it.wrong })
         add("double-runs", results.sumOf { it.doubleRuns })
         add("false-not-runs", results.sumOf { it.falseNotRuns })
         add("violations", results.sumOf { it.violations })
     }
 
-private fun codes(results: List<AtMostOnceResult>): Map<String, Int> =
+private fun refusalCodes(results: List<AtMostOnceResult>): Map<String, Int> =
     results
-        .flatMap { it.tries.values.flatten() }
+        .flatMap { it.responses.values.flatten() }
         .filterIsInstance<CallEnd.NotRun>()
         .groupingBy { it.code }
         .eachCount()
 
-/** Sends one order and repeats it, through another entry daemon, until it is done or [MOST_REPEATS] are used up. */
-private suspend fun VirtualSite.order(
+/** Sends one order up to [MAX_ATTEMPTS] times with the same key, each time through a randomly chosen entry daemon. */
+private suspend fun VirtualSite.sendWithRetries(
     number: Int,
     seed: Int,
-    result: AtMostOnceResult,
+    run: AtMostOnceResult,
 ) {
     val random = Random(seed * 100_003 + number)
     val key = RepeatKey(keyIssuedAt(clock.now().toEpochMilliseconds() - random.nextLong(50), random))
     val body = "order-$number"
-    val ends = result.tries.getOrPut(body) { mutableListOf() }
-    repeat(1 + random.nextInt(MOST_REPEATS)) {
-        val before = runsOf(body)
-        val end = sendOrder(entries.random(random), "/v1/fees", "token-farm", key, body, 8.seconds)
-        ends += end
-        if (end is CallEnd.NotRun && ends.size == 1) checkNotRun(body, before, result)
+    val orderResponses = run.responses.getOrPut(body) { mutableListOf() }
+    repeat(1 + random.nextInt(MAX_ATTEMPTS)) {
+        val executionsBefore = executionsOf(body)
+        val response = sendOrder(entries.random(random), "/v1/fees", "token-farm", key, body, 8.seconds)
+        orderResponses += response
+        if (response is CallEnd.NotRun && orderResponses.size == 1) checkNotRun(body, executionsBefore, run)
         delay(random.nextInt(800).milliseconds)
     }
 }
 
-/** The first call of a key that was refused as not run must not have run when the refusal came, nor later. */
+/** Checks that an order whose first call was refused as not run is not executed by that call, also not within 6 seconds after. */
 private suspend fun VirtualSite.checkNotRun(
     body: String,
-    before: Int,
-    result: AtMostOnceResult,
+    executionsBefore: Int,
+    run: AtMostOnceResult,
 ) {
     delay(6.seconds)
-    if (runsOf(body) > before) result.falseNotRuns++
+    if (executionsOf(body) > executionsBefore) run.falseNotRuns++
 }
 
-private fun VirtualSite.runsOf(body: String): Int = targets.values.sumOf { it.backEnd.runs[body] ?: 0 }
+private fun VirtualSite.executionsOf(body: String): Int = targets.values.sumOf { it.backEnd.runs[body] ?: 0 }
 
-private fun judge(
+private fun evaluate(
     site: VirtualSite,
-    result: AtMostOnceResult,
+    run: AtMostOnceResult,
 ) {
-    result.doubleRuns = result.tries.keys.count { site.runsOf(it) > 1 }
-    result.wrong = result.count { it is CallEnd.Wrong }
-    result.violations = site.violations.size
+    run.doubleRuns = run.responses.keys.count { site.executionsOf(it) > 1 }
+    run.wrong = run.count { it is CallEnd.Wrong }
+    run.violations = site.violations.size
     site.violations.take(3).forEach { println("violation: $it") }
 }
 
-/** Takes failure domains out and back, replaces owners, loses answers and delays configurations. */
-private suspend fun VirtualSite.disturb(
+/** Takes failure domains out of service and back, restarts target daemons, drops responses and delays configurations. */
+private suspend fun VirtualSite.injectFaults(
     random: Random,
     seconds: Int,
 ) {
@@ -164,10 +165,10 @@
     }
 }
 
-/** A new set reaches each process with a delay of its own, within the time that the brief allows. */
+/** Publishes a configuration that a random half of the daemons receive up to 3 seconds late, which is within the time allowed. */
 private suspend fun VirtualSite.publishLate(random: Random) {
-    val late = (targets.keys.map { it.text } + entries.map { it.name.text }).filter { random.nextBoolean() }.toSet()
-    publish(objects(domains.random(random))) { it !in late }
+    val delayed = (targets.keys.map { it.text } + entries.map { it.name.text }).filter { random.nextBoolean() }.toSet()
+    publish(objects(domains.random(random))) { it !in delayed }
     delay(random.nextInt(3_000).milliseconds)
     deliverToAll()
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/RandomMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/RandomMeasure.kt
@@ -1,6 +1,6 @@
 /**
- * Long random runs of many entry daemons and target daemons in virtual time: text and orders under faults that come at any
- * moment, together or twice. Every invariant is asserted by the program itself and every answer is checked by its caller.
+ * Randomized fault tests of a simulated site: requests for text and orders run while faults occur at any time, also several at once
+ * and repeatedly. The production code asserts every invariant, and the caller verifies every response.
  */
 package lagoonrudder.standins.measure
 
@@ -26,12 +26,12 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-private val places = listOf("ost", "west", "sued")
+private val domainNames = listOf("ost", "west", "sued")
 private val traits = EngineTraits(coldRequests = 2, warmRequests = 6, warmUp = 4.seconds, memoryTokens = 3_000, downTime = 1.seconds)
 private const val CALLS_PER_SECOND = 60.0
 private const val STEP_SECONDS = 2
 
-/** What a random run saw. */
+/** The responses and the failures of a run under random faults. */
 class RandomRunResult {
     val responses = mutableListOf<CallEnd>()
     val failures = mutableListOf<String>()
@@ -43,7 +43,7 @@
     version: String,
 ): ObjectSet =
     objectSet {
-        places.forEachIndexed { index, name ->
+        domainNames.forEachIndexed { index, name ->
             region(name, origin = index == 0)
             domain(name, service = if (name == out) Service.OUT else Service.IN)
         }
@@ -52,15 +52,15 @@
         listOf("m-1", "m-2").forEach { version(it, "m") }
         engineFleet("workers", version, replaces = if (version == "m-1") "m-2" else "m-1")
         plainFleet("ledger")
-        places.forEach { place ->
-            repeat(2) { target("worker-$place-$it", "workers", place, requests = traits.warmRequests, memoryTokens = traits.memoryTokens) }
-            target("ledger-$place", "ledger", place, requests = 32)
+        domainNames.forEach { name ->
+            repeat(2) { target("worker-$name-$it", "workers", name, requests = traits.warmRequests, memoryTokens = traits.memoryTokens) }
+            target("ledger-$name", "ledger", name, requests = 32)
         }
         route("text", "/v1/text", "workers", deadline = 4.seconds)
         route("fees", "/v1/fees", "ledger", deadline = 4.seconds, idempotent = false, priority = 2)
     }
 
-/** Runs [steps] of faults drawn from [seed]; [build] may switch on a deliberate defect. */
+/** Runs [steps] faults derived from [seed], one every [STEP_SECONDS]; [build] may inject a deliberate defect. */
 fun runRandomFaults(
     seed: Int,
     steps: Int,
@@ -75,17 +75,17 @@
             faults = RandomFaultInjector(Random(seed), 0.03)
             build(this)
         }) {
-            scope.launch { repeat(steps) { disturb(Random(seed * 1_000 + it)) } }
-            poissonArrivals(Random(seed), CALLS_PER_SECOND, seconds.seconds) { callAny(it, seed, result) }
+            scope.launch { repeat(steps) { injectFault(Random(seed * 1_000 + it)) } }
+            poissonArrivals(Random(seed), CALLS_PER_SECOND, seconds.seconds) { sendRandomRequest(it, seed, result) }
         }
     result.failures += site.violations.map { "${it.invariant} ${it.detail}" }
-    result.failures += result.responses.filterIsInstance<CallEnd.Wrong>().map { "wrong answer: ${it.detail}" }
+    result.failures += result.responses.filterIsInstance<CallEnd.Wrong>().map { "bad response: ${it.detail}" }
     val runs =
         site.targets.values
             .flatMap { it.backEnd.runs.entries }
             .groupBy({ it.key }, { it.value })
     result.doubleRuns = runs.count { it.value.sum() > 1 }
-    if (result.doubleRuns > 0) result.failures += "double runs: ${result.doubleRuns}"
+    if (result.doubleRuns > 0) result.failures += "executed more than once: ${result.doubleRuns}"
     return result
 }
 
@@ -93,7 +93,7 @@
     val seed = options.int("seed", 1)
     val steps = options.int("steps", 60)
     val runs = options.int("runs", 1)
-    val results = (seed until seed + runs).map { one -> runRandomFaults(one, steps).also { println("seed=$one ${lineOf(listOf(it))}") } }
+    val results = (seed until seed + runs).map { each -> runRandomFaults(each, steps).also { println("seed=$each ${lineOf(listOf(it))}") } }
     results.flatMap { it.failures }.take(10).forEach { println("problem: $it") }
     return Verdict("seed=$seed steps=$steps runs=$runs ${lineOf(results)}", results.all { it.failures.isEmpty() })
 }
@@ -110,7 +110,7 @@
     }
 }
 
-private suspend fun VirtualSite.callAny(
+private suspend fun VirtualSite.sendRandomRequest(
     number: Int,
     seed: Int,
     result: RandomRunResult,
@@ -128,32 +128,32 @@
         }
 }
 
-/** One step of [STEP_SECONDS] with a fault that is healed at its end or later. */
-private suspend fun VirtualSite.disturb(random: Random) {
+/** Injects one random fault and waits [STEP_SECONDS]; some faults are repaired after a random delay, also past the end of the step. */
+private suspend fun VirtualSite.injectFault(random: Random) {
     val target = targets.values.random(random)
     when (random.nextInt(9)) {
         0 -> target.backEnd.restart()
         1 -> restartTargetDaemon(target.id)
-        2 -> publish(objects(places.random(random), versionOf(random)))
-        3 -> publish(objects(null, versionOf(random)))
-        4 -> publishToSome(random)
-        5 -> silence(target, random)
-        6 -> cut(target, random)
-        7 -> changeVersionUnasked(target, random)
+        2 -> publish(objects(domainNames.random(random), randomVersion(random)))
+        3 -> publish(objects(null, randomVersion(random)))
+        4 -> publishPartially(random)
+        5 -> stallTemporarily(target, random)
+        6 -> disconnectTemporarily(target, random)
+        7 -> changeVersionWithoutOrder(target, random)
         else -> target.backEnd.dropNextResponse = true
     }
     delay(STEP_SECONDS.seconds)
 }
 
-private fun versionOf(random: Random) = if (random.nextBoolean()) "m-1" else "m-2"
+private fun randomVersion(random: Random) = if (random.nextBoolean()) "m-1" else "m-2"
 
-private suspend fun VirtualSite.publishToSome(random: Random) {
-    publish(objects(null, versionOf(random))) { it.hashCode() % 2 == 0 }
+private suspend fun VirtualSite.publishPartially(random: Random) {
+    publish(objects(null, randomVersion(random))) { it.hashCode() % 2 == 0 }
     delay(random.nextInt(1_500).milliseconds)
     deliverToAll()
 }
 
-private fun VirtualSite.silence(
+private fun VirtualSite.stallTemporarily(
     target: VirtualTarget,
     random: Random,
 ) {
@@ -164,7 +164,7 @@
     }
 }
 
-private fun VirtualSite.cut(
+private fun VirtualSite.disconnectTemporarily(
     target: VirtualTarget,
     random: Random,
 ) {
@@ -175,8 +175,8 @@
     }
 }
 
-/** An old order takes effect, or the engine loads by itself. */
-private fun changeVersionUnasked(
+/** Simulates a late effect of an earlier order, or an engine that changes its version on its own. */
+private fun changeVersionWithoutOrder(
     target: VirtualTarget,
     random: Random,
-) = target.backEnd.serve(VersionId(versionOf(random)))
+) = target.backEnd.serve(VersionId(randomVersion(random)))
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ReaderMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ReaderMeasure.kt
@@ -1,5 +1,6 @@
 /**
- * Memory held for slow readers, in virtual time, and what they cost those who read fast, beside unbounded buffers.
+ * Measures, in virtual time, the memory that responses to slow readers hold and how much they slow down fast readers, compared with
+ * unbounded buffers.
  */
 package lagoonrudder.standins.measure
 
@@ -21,23 +22,23 @@
 import kotlin.time.Duration.Companion.seconds
 
 private const val BUDGET_BYTES = 1_500_000L
-private const val LEAST_FAST_WHOLE = 0.99
+private const val MIN_FAST_COMPLETED_SHARE = 0.99
 private const val WINDOW_BYTES = 8_192L
 private const val SLOW_TOKENS = 2_500
 private const val FAST_TOKENS = 16
 private const val FAST_PER_SECOND = 20.0
-private const val MOST_SLOWDOWN = 1.1
-private val readPause = 30.milliseconds
-private val length = 30.seconds
+private const val MAX_FAST_SLOWDOWN = 1.1
+private val slowReadDelay = 30.milliseconds
+private val duration = 30.seconds
 private val traits = EngineTraits(coldRequests = 600, warmRequests = 600, memoryTokens = 10_000_000)
 
-private class Held(
-    var most: Long = 0,
+private class ReaderRun(
+    var maxHeldBytes: Long = 0,
     val slow: MutableList<CallEnd> = mutableListOf(),
     val fast: MutableList<CallEnd> = mutableListOf(),
     var violations: Int = 0,
 ) {
-    val fastWhole: Double get() = fast.count { it is CallEnd.Whole }.toDouble() / fast.size.coerceAtLeast(1)
+    val fastCompletedShare: Double get() = fast.count { it is CallEnd.Whole }.toDouble() / fast.size.coerceAtLeast(1)
     val fastP95: Duration get() = percentile(fast.filterIsInstance<CallEnd.Whole>().map { it.firstByte }, 0.95)
 }
 
@@ -57,22 +58,22 @@
 fun measureReaders(options: MeasureOptions): Verdict {
     val seed = options.int("seed", 1)
     val windowed = ReaderMemoryPolicy.Windowed(window = WINDOW_BYTES, budget = BUDGET_BYTES)
-    val without = observe(0, windowed, seed)
+    val withoutSlowReaders = observe(0, windowed, seed)
     val bounded = listOf(10, 100, 1_000).associateWith { observe(it, windowed, seed) }
     val unbounded = observe(1_000, ReaderMemoryPolicy.Unbounded, seed)
-    bounded.forEach { (readers, held) -> println("policy=windowed ${lineOf(readers, held)}") }
+    bounded.forEach { (readers, readerRun) -> println("policy=windowed ${lineOf(readers, readerRun)}") }
     println("policy=unbounded ${lineOf(1_000, unbounded)}")
-    val slowdown = bounded.values.maxOf { it.fastP95 / without.fastP95 }
+    val slowdown = bounded.values.maxOf { it.fastP95 / withoutSlowReaders.fastP95 }
     val passed =
-        bounded.values.all { it.most <= BUDGET_BYTES && it.violations == 0 && it.slow.none { end -> end is CallEnd.Wrong } } &&
-            slowdown <= MOST_SLOWDOWN &&
-            bounded.values.all { it.fastWhole >= LEAST_FAST_WHOLE }
+        bounded.values.all { it.maxHeldBytes <= BUDGET_BYTES && it.violations == 0 && it.slow.none { call -> call is CallEnd.Wrong } } &&
+            slowdown <= MAX_FAST_SLOWDOWN &&
+            bounded.values.all { it.fastCompletedShare >= MIN_FAST_COMPLETED_SHARE }
     val line =
         figures {
             add("seed", seed)
             add("budget-bytes", BUDGET_BYTES)
-            bounded.forEach { (readers, held) -> add("held-$readers-bytes", held.most) }
-            add("held-1000-unbounded-bytes", unbounded.most)
+            bounded.forEach { (readers, readerRun) -> add("held-$readers-bytes", readerRun.maxHeldBytes) }
+            add("held-1000-unbounded-bytes", unbounded.maxHeldBytes)
             add("fast-slowdown", slowdown)
         }
     return Verdict(line, passed)
@@ -80,27 +81,27 @@
 
 private fun lineOf(
     readers: Int,
-    held: Held,
+    readerRun: ReaderRun,
 ): String =
     figures {
         add("slow-readers", readers)
-        add("most-held-bytes-of-an-entry", held.most)
-        add("slow-whole", held.slow.count { it is CallEnd.Whole })
-        add("slow-refused", held.slow.count { it is CallEnd.NotRun })
-        add("slow-broken", held.slow.count { it is CallEnd.Broken })
-        add("slow-wrong", held.slow.count { it is CallEnd.Wrong })
-        add("fast-calls", held.fast.size)
-        add("fast-whole", held.fastWhole)
-        add("fast-first-p95", held.fastP95)
-        add("violations", held.violations)
+        add("most-held-bytes-of-an-entry", readerRun.maxHeldBytes)
+        add("slow-whole", readerRun.slow.count { it is CallEnd.Whole })
+        add("slow-refused", readerRun.slow.count { it is CallEnd.NotRun })
+        add("slow-broken", readerRun.slow.count { it is CallEnd.Broken })
+        add("slow-wrong", readerRun.slow.count { it is CallEnd.Wrong })
+        add("fast-calls", readerRun.fast.size)
+        add("fast-whole", readerRun.fastCompletedShare)
+        add("fast-first-p95", readerRun.fastP95)
+        add("violations", readerRun.violations)
     }
 
 private fun observe(
     readers: Int,
     policy: ReaderMemoryPolicy,
     seed: Int,
-): Held {
-    val held = Held()
+): ReaderRun {
+    val readerRun = ReaderRun()
     val site =
         runSimulation(objects(), 120.seconds, {
             this.seed = seed
@@ -109,24 +110,24 @@
             concurrencyLimit = LimitPolicy.Fixed
             entriesEach = 4
         }) {
-            repeat(readers) { number -> scope.launch { held.slow += read(number, "slow", SLOW_TOKENS, readPause) } }
-            scope.launch { watch(held) }
-            poissonArrivals(Random(seed), FAST_PER_SECOND, length) { held.fast += read(it, "fast", FAST_TOKENS, Duration.ZERO) }
+            repeat(readers) { index -> scope.launch { readerRun.slow += fetchAs(index, "slow", SLOW_TOKENS, slowReadDelay) } }
+            scope.launch { sampleHeldBytes(readerRun) }
+            poissonArrivals(Random(seed), FAST_PER_SECOND, duration) { readerRun.fast += fetchAs(it, "fast", FAST_TOKENS, Duration.ZERO) }
         }
-    held.violations = site.violations.size
-    return held
+    readerRun.violations = site.violations.size
+    return readerRun
 }
 
-private suspend fun VirtualSite.read(
-    number: Int,
+private suspend fun VirtualSite.fetchAs(
+    index: Int,
     customer: String,
     tokens: Int,
     pause: Duration,
-): CallEnd = fetchText(entries[number % entries.size], TextCall("/v1/text", "token-$customer", "prompt $number", tokens, 110.seconds, pause))
+): CallEnd = fetchText(entries[index % entries.size], TextCall("/v1/text", "token-$customer", "prompt $index", tokens, 110.seconds, pause))
 
-private suspend fun VirtualSite.watch(held: Held) {
+private suspend fun VirtualSite.sampleHeldBytes(readerRun: ReaderRun) {
     while (clock.elapsed() < 110.seconds) {
-        held.most = maxOf(held.most, entries.maxOf { it.control.readers.held() })
+        readerRun.maxHeldBytes = maxOf(readerRun.maxHeldBytes, entries.maxOf { it.control.readers.held() })
         delay(100.milliseconds)
     }
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/TrafficMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/TrafficMeasure.kt
@@ -1,5 +1,5 @@
 /**
- * Goodput and waits of the request path in virtual time, for each workload and case, beside the baseline policies.
+ * Measures goodput and latency of the request path in virtual time, for each workload and case, compared with baseline policies.
  */
 package lagoonrudder.standins.measure
 
@@ -23,7 +23,7 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-/** A named workload: the size of its requests and the deadline of its answers. */
+/** A named workload: the size of its requests and the deadline of its responses. */
 private data class Workload(
     val name: String,
     val promptCharacters: Int,
@@ -34,7 +34,7 @@
 private val morning = Workload("morning", 80, 8..24, 2.seconds)
 private val evening = Workload("evening", 2_000, 80..160, 6.seconds)
 
-/** What happens during a run, and the load in multiples of what the warm engines bear. */
+/** What happens during a run, and the offered load in multiples of the capacity of the warm engines. */
 private sealed class Case {
     abstract val name: String
     abstract val load: Double
@@ -44,13 +44,13 @@
         override val load = 3.0
     }
 
-    /** Every engine starts anew without notice under an ordinary load. */
+    /** All engines restart cold without notice under normal load. */
     data object ColdStart : Case() {
         override val name = "cold-start"
         override val load = 0.7
     }
 
-    /** One customer sends ten times its share. */
+    /** One customer sends [BURST_FACTOR] times its share. */
     data object Burst : Case() {
         override val name = "burst"
         override val load = 0.5
@@ -62,7 +62,7 @@
     val build: VirtualOptions.() -> Unit,
 )
 
-private val own = PolicySet("own") { }
+private val production = PolicySet("own") { }
 private val baseline =
     PolicySet("baseline") {
         loadBalancing = ChoicePolicy.RoundRobin
@@ -76,7 +76,7 @@
 private const val BURST_FACTOR = 10
 private val traits = EngineTraits(coldRequests = 2, warmRequests = 8, warmUp = 6.seconds, memoryTokens = 20_000)
 private val warmUp = 5.seconds
-private val length = 15.seconds
+private val duration = 15.seconds
 
 private fun objects(workload: Workload): ObjectSet =
     objectSet {
@@ -101,20 +101,20 @@
 
 private const val LINK_BYTES = 2_250_000L
 
-/** Calls and their ends, with the number of the customer. */
-private class Observed {
-    class One(
+/** The calls of a run, with their customers and responses. */
+private class CallLog {
+    class CallRecord(
         val customer: Int,
         val jury: Boolean,
-        val end: CallEnd,
+        val response: CallEnd,
     )
 
-    val calls = mutableListOf<One>()
+    val calls = mutableListOf<CallRecord>()
 
     fun inTime(
         deadline: Duration,
-        which: (One) -> Boolean = { true },
-    ): Int = calls.count { which(it) && (it.end as? CallEnd.Whole)?.let { end -> end.total <= deadline } == true }
+        which: (CallRecord) -> Boolean = { true },
+    ): Int = calls.count { which(it) && (it.response as? CallEnd.Whole)?.let { done -> done.total <= deadline } == true }
 }
 
 fun measureTraffic(options: MeasureOptions): Verdict {
@@ -123,73 +123,76 @@
     var passed = true
     for (workload in listOf(morning, evening)) {
         for (case in listOf(Case.Overload, Case.ColdStart, Case.Burst)) {
-            val results = listOf(own, baseline).associateWith { runCase(workload, case, it, seed) }
-            val ownShare = results.getValue(own)
-            val baseShare = results.getValue(baseline)
-            summary.add("${workload.name}-${case.name}", ownShare)
-            summary.add("${workload.name}-${case.name}-baseline", baseShare)
-            passed = passed && meetsTarget(case, ownShare, baseShare)
+            val results = listOf(production, baseline).associateWith { runCase(workload, case, it, seed) }
+            val productionShare = results.getValue(production)
+            val baselineShare = results.getValue(baseline)
+            summary.add("${workload.name}-${case.name}", productionShare)
+            summary.add("${workload.name}-${case.name}-baseline", baselineShare)
+            passed = passed && meetsTarget(case, productionShare, baselineShare)
         }
     }
     return Verdict("seed=$seed $summary", passed)
 }
 
-/** Overload: 90% of capacity. Cold start and burst: at least twice the baseline. */
+/** Whether [production] meets the threshold: 90% of capacity under overload, and at least twice the baseline in the other cases. */
 private fun meetsTarget(
     case: Case,
-    own: Double,
+    production: Double,
     baseline: Double,
 ): Boolean =
     when (case) {
-        Case.Overload -> own >= 0.9
-        Case.ColdStart, Case.Burst -> own >= 2 * baseline
+        Case.Overload -> production >= 0.9
+        Case.ColdStart, Case.Burst -> production >= 2 * baseline
     }
 
-/** The share that counts in [case]: of capacity under overload, of the requests that the case should not harm otherwise. */
+/**
+ * Runs one case and returns its goodput share: requests completed in time, as a share of capacity under overload, and otherwise as a
+ * share of the requests that the case should not affect.
+ */
 private fun runCase(
     workload: Workload,
     case: Case,
     policies: PolicySet,
     seed: Int,
 ): Double {
-    val observed = Observed()
+    val log = CallLog()
     val capacity = capacityOf(workload)
     val site =
-        runSimulation(objects(workload), warmUp + length + 10.seconds, {
+        runSimulation(objects(workload), warmUp + duration + 10.seconds, {
             this.seed = seed
             engine = traits
             policies.build(this)
-        }) { script(workload, case, capacity, seed, observed) }
-    val seconds = length.toDouble(DurationUnit.SECONDS)
-    val whole = observed.calls.mapNotNull { it.end as? CallEnd.Whole }
-    val others = { one: Observed.One -> case !is Case.Burst || one.customer != 0 }
+        }) { script(workload, case, capacity, seed, log) }
+    val seconds = duration.toDouble(DurationUnit.SECONDS)
+    val done = log.calls.mapNotNull { it.response as? CallEnd.Whole }
+    val others = { record: CallLog.CallRecord -> case !is Case.Burst || record.customer != 0 }
     val share =
         when (case) {
-            Case.Overload -> observed.inTime(workload.deadline) / seconds / capacity
+            Case.Overload -> log.inTime(workload.deadline) / seconds / capacity
             Case.ColdStart, Case.Burst ->
-                observed.inTime(workload.deadline, others).toDouble() /
-                    observed.calls.count(others).coerceAtLeast(1)
+                log.inTime(workload.deadline, others).toDouble() /
+                    log.calls.count(others).coerceAtLeast(1)
         }
     println(
         figures {
             add("workload", workload.name)
             add("case", case.name)
             add("policy", policies.name)
-            add("calls", observed.calls.size)
+            add("calls", log.calls.size)
             add("goodput-share", share)
-            add("goodput-per-second", observed.inTime(workload.deadline) / seconds)
+            add("goodput-per-second", log.inTime(workload.deadline) / seconds)
             add("capacity-per-second", capacity)
-            listOf(0.5, 0.95, 0.99).forEach { add("first-p${(it * 100).toInt()}", percentile(whole.map { end -> end.firstByte }, it)) }
-            listOf(0.5, 0.95, 0.99).forEach { add("token-p${(it * 100).toInt()}", percentile(whole.flatMap { end -> end.gaps }, it)) }
-            addRefusals("not-run", observed.calls)
-            addRefusals("others-not-run", observed.calls.filter(others))
-            val waits = observed.calls.filter(others).mapNotNull { (it.end as? CallEnd.NotRun)?.total }
-            add("others-refused-after-p50", percentile(waits, 0.5))
-            add("others-refused-after-p95", percentile(waits, 0.95))
-            add("others-late", observed.calls.count { others(it) && it.end is CallEnd.Whole } - observed.inTime(workload.deadline, others))
-            add("broken", observed.calls.count { it.end is CallEnd.Broken })
-            add("wrong", observed.calls.count { it.end is CallEnd.Wrong })
-            add("jury-in-time", juryShare(observed, workload))
+            listOf(0.5, 0.95, 0.99).forEach { add("first-p${(it * 100).toInt()}", percentile(done.map { call -> call.firstByte }, it)) }
+            listOf(0.5, 0.95, 0.99).forEach { add("token-p${(it * 100).toInt()}", percentile(done.flatMap { call -> call.gaps }, it)) }
+            addRefusals("not-run", log.calls)
+            addRefusals("others-not-run", log.calls.filter(others))
+            val refusalTimes = log.calls.filter(others).mapNotNull { (it.response as? CallEnd.NotRun)?.total }
+            add("others-refused-after-p50", percentile(refusalTimes, 0.5))
+            add("others-refused-after-p95", percentile(refusalTimes, 0.95))
+            add("others-late", log.calls.count { others(it) && it.response is CallEnd.Whole } - log.inTime(workload.deadline, others))
+            add("broken", log.calls.count { it.response is CallEnd.Broken })
+            add("wrong", log.calls.count { it.response is CallEnd.Wrong })
+            add("jury-in-time", juryShare(log, workload))
             add("falls", site.targets.values.sumOf { it.backEnd.falls })
             add("violations", site.violations.size)
         },
@@ -200,25 +203,25 @@
 
 private fun Figures.addRefusals(
     name: String,
-    calls: List<Observed.One>,
+    calls: List<CallLog.CallRecord>,
 ) {
-    val codes = calls.mapNotNull { (it.end as? CallEnd.NotRun)?.code }
+    val codes = calls.mapNotNull { (it.response as? CallEnd.NotRun)?.code }
     for ((code, count) in codes.groupingBy { it }.eachCount()) add("$name-$code", count)
 }
 
 private fun juryShare(
-    observed: Observed,
+    log: CallLog,
     workload: Workload,
 ): Double {
-    val jury = observed.calls.count { it.jury && it.customer != 0 }
-    return observed.inTime(workload.deadline) { it.jury && it.customer != 0 }.toDouble() / jury.coerceAtLeast(1)
+    val jury = log.calls.count { it.jury && it.customer != 0 }
+    return log.inTime(workload.deadline) { it.jury && it.customer != 0 }.toDouble() / jury.coerceAtLeast(1)
 }
 
-/** The requests a second that all warm engines bear without slowing down. */
+/** The requests per second that all warm engines together process without slowing down. */
 private fun capacityOf(workload: Workload): Double {
     val tokens = (workload.tokens.first + workload.tokens.last) / 2.0
-    val each = traits.firstToken + traits.tokenInterval * tokens
-    return WORKERS * traits.warmRequests / each.toDouble(DurationUnit.SECONDS)
+    val timePerRequest = traits.firstToken + traits.tokenInterval * tokens
+    return WORKERS * traits.warmRequests / timePerRequest.toDouble(DurationUnit.SECONDS)
 }
 
 private suspend fun VirtualSite.script(
@@ -226,10 +229,10 @@
     case: Case,
     capacity: Double,
     seed: Int,
-    observed: Observed,
+    log: CallLog,
 ) {
-    val end = warmUp + length
-    scope.launch { poissonArrivals(Random(seed), capacity * case.load, end) { call(workload, it, it % CUSTOMERS, observed) } }
+    val endTime = warmUp + duration
+    scope.launch { poissonArrivals(Random(seed), capacity * case.load, endTime) { call(workload, it, it % CUSTOMERS, log) } }
     delay(warmUp)
     when (case) {
         Case.Overload -> Unit
@@ -238,8 +241,8 @@
             poissonArrivals(
                 Random(seed + 1),
                 capacity * case.load / CUSTOMERS * BURST_FACTOR * BURST_FACTOR,
-                end,
-            ) { call(workload, it, 0, observed) }
+                endTime,
+            ) { call(workload, it, 0, log) }
     }
 }
 
@@ -247,7 +250,7 @@
     workload: Workload,
     number: Int,
     customer: Int,
-    observed: Observed,
+    log: CallLog,
 ) {
     val random = Random(number)
     val jury = number % 7 == 0
@@ -260,7 +263,7 @@
             tokens = random.nextInt(workload.tokens.first, workload.tokens.last + 1),
             limit = workload.deadline * 3,
         )
-    val started = clock.elapsed()
-    val end = fetchText(entries[random.nextInt(entries.size)], call)
-    if (started >= warmUp) observed.calls += Observed.One(customer, jury, end)
+    val startedAt = clock.elapsed()
+    val response = fetchText(entries[random.nextInt(entries.size)], call)
+    if (startedAt >= warmUp) log.calls += CallLog.CallRecord(customer, jury, response)
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/VirtualRun.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/VirtualRun.kt
@@ -1,5 +1,5 @@
 /**
- * Runs in virtual time: a scheduler that is advanced step by step, without threads of its own.
+ * Simulations in virtual time, on a scheduler that is advanced by the calling thread and has no threads of its own.
  */
 @file:OptIn(ExperimentalCoroutinesApi::class)
 
@@ -19,10 +19,10 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Builds and starts a site, runs [script] in it, advances the time by [length], and closes it. */
+/** Creates and starts a site, runs [script] in it, advances the virtual time by [duration] and closes the site. */
 fun runSimulation(
     objects: ObjectSet,
-    length: Duration,
+    duration: Duration,
     build: VirtualOptions.() -> Unit,
     script: suspend VirtualSite.() -> Unit,
 ): VirtualSite {
@@ -30,26 +30,30 @@
     val site = virtualSite(scheduler, objects, build)
     site.start()
     site.scope.launch { site.script() }
-    scheduler.advanceTimeBy(length)
+    scheduler.advanceTimeBy(duration)
     site.close()
     scheduler.advanceUntilIdle()
     return site
 }
 
-/** Starts [call] at random times, on average [perSecond] times a second, until [until]. */
+/**
+ * Starts [call] at the times of a Poisson process of rate [perSecond], with the number of the call from 0, until [until] has passed.
+ *
+ * Calls run concurrently and are not awaited.
+ */
 suspend fun VirtualSite.poissonArrivals(
     random: Random,
     perSecond: Double,
     until: Duration,
     call: suspend (Int) -> Unit,
 ) {
-    var next = clock.elapsed()
-    var number = 0
-    while (next < until) {
-        next += (-ln(1.0 - random.nextDouble()) / perSecond).seconds
-        val wait = next - clock.elapsed()
+    var nextArrival = clock.elapsed()
+    var callCount = 0
+    while (nextArrival < until) {
+        nextArrival += (-ln(1.0 - random.nextDouble()) / perSecond).seconds
+        val wait = nextArrival - clock.elapsed()
         if (wait > 1.milliseconds) delay(wait)
-        val own = number++
-        scope.launch { call(own) }
+        val index = callCount++
+        scope.launch { call(index) }
     }
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/WeightSimulation.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/WeightSimulation.kt
@@ -32,7 +32,7 @@
  * The faults injected into a simulated distribution.
  *
  * [crashRate] is the probability that a replica crashes in the first half of the allowed time, [corruptionRate] the probability that a
- * transferred chunk arrives damaged, and [isolateRegion] separates one region from the others for a while.
+ * transferred chunk arrives damaged, and [isolateRegion] cuts off one region from the others from second 30 to second 90.
  */
 data class DistributionFaults(
     val crashRate: Double = 0.0,
@@ -59,7 +59,7 @@
 /**
  * A discrete-event simulation of one distribution of weights; times in seconds since its start.
  *
- * The same [seed] gives the same run. Instances are for one call of [run].
+ * The same [seed] gives the same run. An instance supports one call of [run].
  */
 class WeightSimulation(
     private val policy: SourcePolicy,
@@ -85,7 +85,7 @@
 
     private class Waiter(
         val fetch: () -> Unit,
-        var pending: Boolean = true,
+        var open: Boolean = true,
     )
 
     private class Event(
@@ -189,8 +189,8 @@
         val waiter = Waiter({ transfer(node, decision, from) })
         from.waiters.getOrPut(decision.chunk.number) { mutableListOf() } += waiter
         schedule(now + PEER_WAIT_SECONDS) {
-            if (waiter.pending) {
-                waiter.pending = false
+            if (waiter.open) {
+                waiter.open = false
                 complete(node, decision, if (from.alive) DrawResult.NotYet else DrawResult.Failed)
             }
         }
@@ -249,8 +249,8 @@
     ) {
         if (result is DrawResult.Arrived && result.digest == corruptDigest) corruptChunksKept++
         node.held[chunk.number] = true
-        node.waiters.remove(chunk.number)?.filter { it.pending }?.forEach {
-            it.pending = false
+        node.waiters.remove(chunk.number)?.filter { it.open }?.forEach {
+            it.open = false
             it.fetch()
         }
     }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
@@ -286,17 +286,17 @@
 
     private fun deliverConfiguration(receives: (String) -> Boolean = { true }) {
         generation++
-        val snapshot = SealedSet(revision, objects)
+        val set = SealedSet(revision, objects)
         val instances = instances()
         for (target in targets.values) {
             if (!receives(target.id.text)) continue
-            accept(target.control.configuration, snapshot)
+            accept(target.control.configuration, set)
             target.control.membership.replaceList(instances, generation)
             target.control.configured()
         }
         for (entry in entries) {
             if (!receives(entry.name.text) || !entry.reachable) continue
-            accept(entry.control.configuration, snapshot)
+            accept(entry.control.configuration, set)
             entry.control.membership.replaceList(instances, generation)
             entry.control.configured()
         }
@@ -304,9 +304,9 @@
 
     private fun accept(
         configuration: ConfigurationController,
-        snapshot: SealedSet,
+        set: SealedSet,
     ) {
-        CheckedSet.ofWhole(snapshot, configuration.current, PEER).fold({ error(it.describe()) }, { configuration.offer(it) })
+        CheckedSet.ofWhole(set, configuration.current, PEER).fold({ error(it.describe()) }, { configuration.offer(it) })
         configuration.confirm()
     }
 
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualTargetClient.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualTargetClient.kt
@@ -48,9 +48,9 @@
     /** The request is sent and lost; the target never receives it. */
     data object RequestLost : ExchangeFault()
 
-    /** The request is delivered after an additional [delay]. */
+    /** The request is delivered after an additional [extraDelay]. */
     data class RequestDelayed(
-        val delay: Duration,
+        val extraDelay: Duration,
     ) : ExchangeFault()
 
     /** The target executes the request and the connection is lost after [events] events of the response. */
@@ -117,7 +117,7 @@
             val peer = peerOf(target)
             if (fault is ExchangeFault.Refused || findReachable(target) == null) return@channelFlow send(refused(peer, Step.CONNECT).left())
             if (fault is ExchangeFault.RequestLost) awaitCancellation()
-            delay(latency + if (fault is ExchangeFault.RequestDelayed) fault.delay else Duration.ZERO)
+            delay(latency + if (fault is ExchangeFault.RequestDelayed) fault.extraDelay else Duration.ZERO)
             val destination = findReachable(target) ?: return@channelFlow send(interrupted(peer).left())
             var events = 0
             val call =
@@ -181,7 +181,7 @@
         val pending =
             scope.async {
                 if (fault is ExchangeFault.RequestLost) awaitCancellation()
-                delay(latency + if (fault is ExchangeFault.RequestDelayed) fault.delay else Duration.ZERO)
+                delay(latency + if (fault is ExchangeFault.RequestDelayed) fault.extraDelay else Duration.ZERO)
                 val response = handler(destination)
                 if (fault is ExchangeFault.ResponseAborted || fault is ExchangeFault.ResponseStalled) awaitCancellation()
                 delay(latency)
