--- a/cli/src/main/kotlin/lagoonrudder/cli/DaemonCommands.kt
+++ b/cli/src/main/kotlin/lagoonrudder/cli/DaemonCommands.kt
@@ -19,7 +19,7 @@
 import java.io.IOException
 import kotlin.time.Duration.Companion.seconds
 
-private val LIMIT = 5.seconds
+private val RESPONSE_TIMEOUT = 5.seconds
 
 internal fun daemonCommands(console: Console): List<Subcommand> =
     listOf(
@@ -37,22 +37,22 @@
 
     override fun execute() =
         runBlocking {
-            HttpClient(CIO).use { client -> addresses.forEach { ask(client, it) } }
+            HttpClient(CIO).use { client -> addresses.forEach { query(client, it) } }
         }
 
-    private suspend fun ask(
+    private suspend fun query(
         client: HttpClient,
         address: String,
     ) {
         if (addressOrNull(address) == null) {
-            return console.fail("address $address: expected an IP number and a port such as 127.0.0.1:9001", EXIT_WRONG_INPUT)
+            return console.fail("address $address: expected an IP number and a port such as 127.0.0.1:9001", EXIT_INVALID_INPUT)
         }
         try {
-            val text = withTimeoutOrNull(LIMIT) { client.get("http://$address/$path").bodyAsText() }
+            val text = withTimeoutOrNull(RESPONSE_TIMEOUT) { client.get("http://$address/$path").bodyAsText() }
             if (text ==
                 null
             ) {
-                console.fail("step=dump peer=$address no answer within $LIMIT", EXIT_UNREACHABLE)
+                console.fail("step=dump peer=$address no answer within $RESPONSE_TIMEOUT", EXIT_UNREACHABLE)
             } else {
                 console.print(text.trimEnd())
             }
--- a/cli/src/main/kotlin/lagoonrudder/cli/Main.kt
+++ b/cli/src/main/kotlin/lagoonrudder/cli/Main.kt
@@ -12,7 +12,7 @@
 import kotlin.system.exitProcess
 
 internal const val EXIT_FINDINGS = 1
-internal const val EXIT_WRONG_INPUT = 2
+internal const val EXIT_INVALID_INPUT = 2
 internal const val EXIT_UNREACHABLE = 3
 
 @OptIn(ExperimentalCli::class)
--- a/cli/src/main/kotlin/lagoonrudder/cli/ObjectCommands.kt
+++ b/cli/src/main/kotlin/lagoonrudder/cli/ObjectCommands.kt
@@ -19,8 +19,8 @@
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Revision
 import lagoonrudder.model.RouteId
-import lagoonrudder.model.SealedSet
-import lagoonrudder.model.Service
+import lagoonrudder.model.ObjectSnapshot
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.changesBetween
 import lagoonrudder.model.checkObjects
 import lagoonrudder.model.digestOf
@@ -40,8 +40,8 @@
         SealCommand(console),
         DiffCommand(console),
         ExplainCommand(console),
-        ServiceCommand(console, "out", "Take a failure domain or a target out of service in a file of objects", Service.OUT),
-        ServiceCommand(console, "in", "Bring a failure domain or a target back into service in a file of objects", Service.IN),
+        ServiceCommand(console, "out", "Take a failure domain or a target out of service in a file of objects", AdminState.OUT),
+        ServiceCommand(console, "in", "Bring a failure domain or a target back into service in a file of objects", AdminState.IN),
         ManifestCommand(console),
     )
 
@@ -59,9 +59,9 @@
         try {
             run()
         } catch (unreadable: UnreadableFile) {
-            console.fail(unreadable.line, EXIT_WRONG_INPUT)
+            console.fail(unreadable.line, EXIT_INVALID_INPUT)
         } catch (unreadable: IOException) {
-            console.fail("cannot read or write: ${unreadable.message}", EXIT_WRONG_INPUT)
+            console.fail("cannot read or write: ${unreadable.message}", EXIT_INVALID_INPUT)
         }
     }
 
@@ -70,7 +70,7 @@
     /** Reads a file of objects; its findings are printed and null is returned when it has any. */
     protected fun readOrReport(file: String): ObjectSet? {
         val read = readObjects(textOf(file), file)
-        val checked = read.fold({ findings -> return report(findings.map { it.detail }, EXIT_WRONG_INPUT) }, { checkObjects(it, file) })
+        val checked = read.fold({ findings -> return report(findings.map { it.detail }, EXIT_INVALID_INPUT) }, { checkObjects(it, file) })
         return checked.getOrElse { findings -> report(findings.map { it.detail }, EXIT_FINDINGS) }
     }
 
@@ -111,8 +111,8 @@
 
     override fun run() {
         val objects = readOrReport(file) ?: return
-        val last = before?.let { readSealed(it) } ?: SealedSet.EMPTY
-        val sealed = seal(SealedSet(Revision(revision.toLong()), objects), last, file)
+        val last = before?.let { readSealed(it) } ?: ObjectSnapshot.EMPTY
+        val sealed = seal(ObjectSnapshot(Revision(revision.toLong()), objects), last, file)
         val document = sealed.getOrElse { return console.fail(it.detail, EXIT_FINDINGS) }
         val folder = File(out).apply { mkdirs() }
         document.parts.forEach { File(folder, partKey(it.digest)).writeText(it.text) }
@@ -121,7 +121,7 @@
         console.print("publish the files part-* first and the file $HEAD_KEY last")
     }
 
-    private fun readSealed(folder: String): SealedSet {
+    private fun readSealed(folder: String): ObjectSnapshot {
         val peer = Peer(PeerRole.OPERATOR, folder)
         val head = readHead(textOf("$folder/$HEAD_KEY"), peer).getOrElse { throw UnreadableFile(it.detail) }
         val parts = head.parts.associateWith { digest: Digest -> textOf("$folder/${partKey(digest)}") }
@@ -171,7 +171,7 @@
         val objects = readOrReport(file) ?: return
         val found =
             objects.routes[RouteId(route)]
-                ?: return console.fail("file $file: expected a section [route $route], found none", EXIT_WRONG_INPUT)
+                ?: return console.fail("file $file: expected a section [route $route], found none", EXIT_INVALID_INPUT)
         val fleet = objects.fleets.getValue(found.fleet)
         val repeats = if (found.idempotent) "may be repeated" else "at most once, by the caller's Idempotency-Key"
         console.print(
@@ -191,7 +191,7 @@
     console: Console,
     name: String,
     description: String,
-    private val service: Service,
+    private val service: AdminState,
 ) : ObjectCommand(console, name, description) {
     private val kind by argument(ArgType.String, description = "domain or target")
     private val id by argument(ArgType.String, description = "name of the failure domain or target")
@@ -204,7 +204,7 @@
             when (val value = wanted?.let { objects.byKey[ObjectKey(it, id)] }) {
                 is OperatorObject.Domain -> value.copy(service = service)
                 is OperatorObject.Target -> value.copy(service = service)
-                else -> return console.fail("file $file: expected a section [domain $id] or [target $id], found none", EXIT_WRONG_INPUT)
+                else -> return console.fail("file $file: expected a section [domain $id] or [target $id], found none", EXIT_INVALID_INPUT)
             }
         val next = objects.byKey.values.map { if (it.key == changed.key) changed else it }
         File(file).writeText(writeObjects(next))
@@ -220,7 +220,7 @@
     private val out by option(ArgType.String, "out", description = "file to write the manifest to").required()
 
     override fun run() {
-        if (chunkBytes <= 0) return console.fail("option chunk-bytes: expected a number above 0", EXIT_WRONG_INPUT)
+        if (chunkBytes <= 0) return console.fail("option chunk-bytes: expected a number above 0", EXIT_INVALID_INPUT)
         val digests = mutableListOf<String>()
         File(weights).inputStream().use { input ->
             while (true) {
--- a/cli/src/main/kotlin/lagoonrudder/cli/RequestStory.kt
+++ b/cli/src/main/kotlin/lagoonrudder/cli/RequestStory.kt
@@ -10,27 +10,27 @@
 import java.time.Duration
 
 /** The story of [request] over [lines] of any number of processes; empty when no line names it. */
-internal fun storyOf(
+internal fun traceRequest(
     request: String,
     lines: List<LogLine>,
 ): List<String> {
     val ordered = lines.sortedBy { it.at }
     return ordered.filter { it["request"] == request }.flatMap { line ->
         val before = ordered.filter { it.process == line.process && it.at <= line.at && it !== line }
-        beliefs(line, before).sortedBy { it.at }.map { believed(it, line) } + line.text
+        knownState(line, before).sortedBy { it.at }.map { describeKnown(it, line) } + line.text
     }
 }
 
-private fun beliefs(
+private fun knownState(
     line: LogLine,
     before: List<LogLine>,
 ): List<LogLine> {
-    val general = BELIEFS.mapNotNull { events -> before.lastOrNull { it.event in events } }
+    val general = STATE_EVENTS.mapNotNull { events -> before.lastOrNull { it.event in events } }
     val targets = TARGET.findAll(line["attempts"].orEmpty()).map { it.groupValues[1] }.distinct()
-    return general + targets.flatMap { backEndBeliefs(it, before) }
+    return general + targets.flatMap { knownBackEndState(it, before) }
 }
 
-private fun backEndBeliefs(
+private fun knownBackEndState(
     target: String,
     before: List<LogLine>,
 ): List<LogLine> {
@@ -40,13 +40,13 @@
     return listOfNotNull(listed, gone, heard)
 }
 
-private fun believed(
-    belief: LogLine,
+private fun describeKnown(
+    known: LogLine,
     line: LogLine,
-): String = "  believed for ${Duration.between(belief.at, line.at).toMillis()} ms: ${belief.text}"
+): String = "  believed for ${Duration.between(known.at, line.at).toMillis()} ms: ${known.text}"
 
 /** Events of which the last one before a decision tells what was believed. */
-private val BELIEFS =
+private val STATE_EVENTS =
     listOf(
         setOf("configuration-in-force"),
         setOf("version-declared"),
--- a/cli/src/main/kotlin/lagoonrudder/cli/TraceCommand.kt
+++ b/cli/src/main/kotlin/lagoonrudder/cli/TraceCommand.kt
@@ -18,8 +18,8 @@
 
     override fun run() {
         val lines = files.flatMap { file -> File(file).useLines { lines -> lines.mapNotNull { readLogLine(it) }.toList() } }
-        val story = storyOf(request, lines)
-        story.forEach { console.print(it) }
-        if (story.isEmpty()) console.fail("no line of ${files.size} files names request $request", EXIT_FINDINGS)
+        val trace = traceRequest(request, lines)
+        trace.forEach { console.print(it) }
+        if (trace.isEmpty()) console.fail("no line of ${files.size} files names request $request", EXIT_FINDINGS)
     }
 }
--- a/cli/src/test/kotlin/lagoonrudder/cli/ObjectCommandsTest.kt
+++ b/cli/src/test/kotlin/lagoonrudder/cli/ObjectCommandsTest.kt
@@ -24,7 +24,7 @@
     }
 
 private class Run(
-    vararg words: String,
+    vararg arguments: String,
 ) {
     val lines = mutableListOf<String>()
     val errors = mutableListOf<String>()
@@ -34,7 +34,7 @@
     init {
         val parser = ArgParser("lagoonrudder")
         parser.subcommands(*objectCommands(console).toTypedArray())
-        parser.parse(arrayOf(*words))
+        parser.parse(arrayOf(*arguments))
         code = console.exitCode
     }
 }
--- a/cli/src/test/kotlin/lagoonrudder/cli/RequestStoryTest.kt
+++ b/cli/src/test/kotlin/lagoonrudder/cli/RequestTraceTest.kt
@@ -13,7 +13,7 @@
 
 private fun lines(vararg texts: String) = texts.map { readLogLine(it).shouldNotBeNull() }
 
-class RequestStoryTest :
+class RequestTraceTest :
     FunSpec({
         test("a line is read with quoted values, whatever stands before its time") {
             val line = readLogLine("  3.2 node $DAY:06.643 level=INFO event=paused process=a for=\"2 s\" at=4").shouldNotBeNull()
@@ -30,8 +30,8 @@
         }
 
         test("a request's line comes after what its own process believed last, in order") {
-            val story =
-                storyOf(
+            val trace =
+                traceRequest(
                     "r1",
                     lines(
                         "$DAY:03.000 level=INFO event=configuration-in-force process=a revision=2",
@@ -43,15 +43,15 @@
                         "$DAY:06.000 level=INFO event=configuration-in-force process=a revision=4",
                     ),
                 )
-            story shouldHaveSize 4
-            story[0] shouldContain "believed for 3000 ms"
-            story[0] shouldContain "target=t1"
-            story[1] shouldContain "revision=2"
-            story[2] shouldContain "closed=true"
-            story[3] shouldContain "request=r1"
+            trace shouldHaveSize 4
+            trace[0] shouldContain "believed for 3000 ms"
+            trace[0] shouldContain "target=t1"
+            trace[1] shouldContain "revision=2"
+            trace[2] shouldContain "closed=true"
+            trace[3] shouldContain "request=r1"
         }
 
         test("a request that no line names has no story") {
-            storyOf("r2", lines("$DAY:05.000 level=INFO event=request-ended process=a request=r1 attempts=")).shouldBeEmpty()
+            traceRequest("r2", lines("$DAY:05.000 level=INFO event=request-ended process=a request=r1 attempts=")).shouldBeEmpty()
         }
     })
--- a/control/src/main/kotlin/lagoonrudder/control/AdmissionController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/AdmissionController.kt
@@ -35,9 +35,9 @@
 )
 
 /** A request as the queue sees it. [cost] is its expected work in tokens, [deadline] is process time. */
-data class Waiting(
+data class QueuedRequest(
     val id: RequestId,
-    val line: QueueLine,
+    val line: QueueKey,
     val customer: CustomerId,
     val weight: Int,
     val priority: Int,
@@ -47,7 +47,7 @@
 )
 
 /** What a request waits for: any target of [fleet], or only [owner]. */
-data class QueueLine(
+data class QueueKey(
     val fleet: FleetId,
     val owner: TargetId?,
 )
@@ -65,7 +65,7 @@
     private val bounds: QueueBounds,
     private val invariants: Invariants,
 ) {
-    private val lines = mutableMapOf<QueueLine, WaitingLine>()
+    private val lines = mutableMapOf<QueueKey, RequestQueue>()
     private val held = mutableMapOf<CustomerId, Held>()
     private var requests = 0
     private var bytes = 0L
@@ -79,8 +79,8 @@
     )
 
     /** Lets [waiting] into its line or refuses it. */
-    fun enter(
-        waiting: Waiting,
+    fun enqueue(
+        waiting: QueuedRequest,
         now: Duration,
     ): QueueDecision {
         refusalFor(waiting, now)?.let {
@@ -94,19 +94,19 @@
     }
 
     /** Puts a request that a target turned away back to the head of its line. */
-    fun reenter(waiting: Waiting) = add(waiting, again = true)
+    fun requeue(waiting: QueuedRequest) = add(waiting, again = true)
 
     /** The request that goes next in [key], or null when none waits. It stays in the line until it is taken or removed. */
-    fun head(key: QueueLine): Waiting? = lines[key]?.head(policy)
+    fun peek(key: QueueKey): QueuedRequest? = lines[key]?.peek(policy)
 
     /** Takes [waiting] out of its line because it goes to a target; its customer is charged for it. */
-    fun take(waiting: Waiting): Boolean = release(waiting, lines[waiting.line]?.take(waiting))
+    fun take(waiting: QueuedRequest): Boolean = release(waiting, lines[waiting.line]?.take(waiting))
 
     /** Takes [waiting] out of its line because it does not go: it is late or its caller has gone. */
-    fun remove(waiting: Waiting): Boolean = release(waiting, lines[waiting.line]?.remove(waiting))
+    fun remove(waiting: QueuedRequest): Boolean = release(waiting, lines[waiting.line]?.remove(waiting))
 
     /** Takes out the requests that can't end before their deadline any more. */
-    fun expire(now: Duration): List<Waiting> {
+    fun expire(now: Duration): List<QueuedRequest> {
         if (requests == 0) return emptyList()
         val late = lines.values.flatMap { it.late(policy, now) }
         late.forEach(::remove)
@@ -115,17 +115,17 @@
     }
 
     /** Learns from a request of [waiting]'s line that ended after [service] at its target, for the forecast of waits. */
-    fun ended(
-        waiting: Waiting,
+    fun onRequestCompleted(
+        waiting: QueuedRequest,
         service: Duration,
         now: Duration,
     ) = lineOf(waiting.line).learn(waiting, service, now)
 
     /** The lines in which someone waits. */
-    fun waitingLines(): List<QueueLine> = lines.filterValues { it.size > 0 }.keys.toList()
+    fun nonEmptyQueues(): List<QueueKey> = lines.filterValues { it.size > 0 }.keys.toList()
 
     /** The number of requests that wait in [key]. */
-    fun waitingIn(key: QueueLine): Int = lines[key]?.size ?: 0
+    fun queueLength(key: QueueKey): Int = lines[key]?.size ?: 0
 
     fun dump(): DumpSection =
         dumpSection("admission") {
@@ -138,7 +138,7 @@
         }
 
     private fun refusalFor(
-        waiting: Waiting,
+        waiting: QueuedRequest,
         now: Duration,
     ): Refusal? {
         val line = lineOf(waiting.line)
@@ -152,7 +152,7 @@
     }
 
     /** One customer may fill half of the bounds, so that it can't shut the others out. */
-    private fun isFull(waiting: Waiting): Boolean {
+    private fun isFull(waiting: QueuedRequest): Boolean {
         val own = held[waiting.customer] ?: Held()
         val all = requests >= bounds.requests || bytes + waiting.bytes > bounds.bytes
         val share = own.requests >= halfOf(bounds.requests) || own.bytes + waiting.bytes > halfOf(bounds.bytes)
@@ -166,7 +166,7 @@
     private fun retryAfter(wait: Duration): Duration = wait.coerceIn(SHORTEST_RETRY, LONGEST_RETRY)
 
     private fun add(
-        waiting: Waiting,
+        waiting: QueuedRequest,
         again: Boolean,
     ) {
         lineOf(waiting.line).add(waiting, again)
@@ -178,7 +178,7 @@
     }
 
     private fun release(
-        waiting: Waiting,
+        waiting: QueuedRequest,
         found: Boolean?,
     ): Boolean {
         if (found != true) return false
@@ -191,7 +191,7 @@
         return true
     }
 
-    private fun lineOf(key: QueueLine): WaitingLine = lines.getOrPut(key) { WaitingLine() }
+    private fun lineOf(key: QueueKey): RequestQueue = lines.getOrPut(key) { RequestQueue() }
 
     private companion object {
         val SHORTEST_RETRY = 200.milliseconds
--- a/control/src/main/kotlin/lagoonrudder/control/CheckedSet.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/CheckedSet.kt
@@ -12,24 +12,24 @@
 import arrow.core.right
 import lagoonrudder.model.Failure
 import lagoonrudder.model.Peer
-import lagoonrudder.model.SealedChanges
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.SnapshotDelta
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Step
 import lagoonrudder.model.changesBetween
 import lagoonrudder.model.checkObjects
 
 /** [changes] lead from [base] to [set]; [peer] is who offered it. */
 class CheckedSet private constructor(
-    val set: SealedSet,
-    val base: SealedSet,
-    val changes: SealedChanges,
+    val set: ObjectSnapshot,
+    val base: ObjectSnapshot,
+    val changes: SnapshotDelta,
     val peer: Peer,
 ) {
     companion object {
         /** Checks a whole set that [peer] offered to a process that has [base] in force. */
-        fun ofWhole(
-            offered: SealedSet,
-            base: SealedSet,
+        fun ofFullSet(
+            offered: ObjectSnapshot,
+            base: ObjectSnapshot,
             peer: Peer,
         ): Either<Failure, CheckedSet> =
             checkObjects(offered.objects, peer.toString())
@@ -38,22 +38,22 @@
 
         /** Applies changes that [peer] offered to [base], verifies the digest they lead to, and checks the result. */
         fun ofChanges(
-            offered: SealedChanges,
-            base: SealedSet,
+            offered: SnapshotDelta,
+            base: ObjectSnapshot,
             peer: Peer,
         ): Either<Failure, CheckedSet> {
-            val next = SealedSet(offered.revision, base.objects.plus(offered.changes))
+            val next = ObjectSnapshot(offered.revision, base.objects.plus(offered.changes))
             val verified = if (next.digest == offered.digest) next.right() else damaged(offered, peer).left()
-            return verified.flatMap { ofWhole(it, base, peer) }
+            return verified.flatMap { ofFullSet(it, base, peer) }
         }
 
         private fun changesFrom(
-            base: SealedSet,
-            set: SealedSet,
-        ) = SealedChanges(base.revision, base.digest, set.revision, set.digest, changesBetween(base.objects, set.objects))
+            base: ObjectSnapshot,
+            set: ObjectSnapshot,
+        ) = SnapshotDelta(base.revision, base.digest, set.revision, set.digest, changesBetween(base.objects, set.objects))
 
         private fun damaged(
-            offered: SealedChanges,
+            offered: SnapshotDelta,
             peer: Peer,
         ): Failure =
             Failure.Damaged(Step.ACCEPT_CONFIGURATION, peer, "changes to revision ${offered.revision.number} don't lead to its digest")
@@ -62,6 +62,6 @@
 
 /** Whether [offered] starts from the set that [base] is. */
 fun startsFrom(
-    offered: SealedChanges,
-    base: SealedSet,
+    offered: SnapshotDelta,
+    base: ObjectSnapshot,
 ): Boolean = offered.base == base.revision && offered.baseDigest == base.digest
--- a/control/src/main/kotlin/lagoonrudder/control/WeightPlan.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/ChunkSourcePlan.kt
@@ -19,7 +19,7 @@
 import lagoonrudder.model.rendezvousScore
 
 /** A target daemon that wants or holds a version. */
-data class Holder(
+data class WeightHolder(
     val daemon: DaemonId,
     val domain: DomainId,
     val region: RegionId,
@@ -29,7 +29,7 @@
     data object Origin : ChunkSource()
 
     data class Peer(
-        val holder: Holder,
+        val holder: WeightHolder,
     ) : ChunkSource()
 }
 
@@ -44,18 +44,18 @@
     data object Striped : SourcePolicy()
 }
 
-class WeightPlan(
+class ChunkSourcePlan(
     private val policy: SourcePolicy,
     private val version: VersionId,
-    private val self: Holder,
-    holders: Collection<Holder>,
+    private val self: WeightHolder,
+    holders: Collection<WeightHolder>,
     private val originRegion: RegionId?,
     private val chunks: Int,
 ) {
     private val orders = mutableMapOf<String, List<*>>()
     private val chunkPlaces = mutableMapOf<String, IntArray>()
     private val all = (holders + self).distinctBy { it.daemon }
-    private val byDomain: Map<DomainId, List<Holder>> = all.groupBy { it.domain }
+    private val byDomain: Map<DomainId, List<WeightHolder>> = all.groupBy { it.domain }
     private val domainsOf: Map<RegionId, List<DomainId>> =
         all.groupBy { it.region }.mapValues { (_, members) -> members.map { it.domain }.distinct() }
 
@@ -75,7 +75,7 @@
         }
 
     /** Whether this holder is the first in its failure domain for [chunk], and so keeps it for latecomers. */
-    fun leads(chunk: ChunkIndex): Boolean = led.getOrElse(chunk.number) { domainOrder(chunk, self.domain).first() == self }
+    fun isPrimarySource(chunk: ChunkIndex): Boolean = led.getOrElse(chunk.number) { domainOrder(chunk, self.domain).first() == self }
 
     private val led: List<Boolean> by lazy { (0 until chunks).map { domainOrder(ChunkIndex(it), self.domain).first() == self } }
 
@@ -90,13 +90,13 @@
         return (before + above).distinct().filter { it != self }.map { ChunkSource.Peer(it) } + ChunkSource.Origin
     }
 
-    private fun aboveDomain(chunk: ChunkIndex): List<Holder> {
+    private fun aboveDomain(chunk: ChunkIndex): List<WeightHolder> {
         val domains = domainsInOrder(chunk, self.region)
         val before = domains.takeWhile { it != self.domain }.take(STAND_INS)
         return before.map { domainOrder(chunk, it).first() } + aboveRegion(chunk)
     }
 
-    private fun aboveRegion(chunk: ChunkIndex): List<Holder> {
+    private fun aboveRegion(chunk: ChunkIndex): List<WeightHolder> {
         val regions = regionsInOrder(chunk)
         val before = regions.takeWhile { it != self.region }
         val preferred = before.drop(1).take(1) + before.take(1)
@@ -111,7 +111,7 @@
     }
 
     /** How many chunks this holder draws first from each other region. */
-    fun drawsAcross(): Map<RegionId, Int> =
+    fun crossRegionFetches(): Map<RegionId, Int> =
         (0 until chunks)
             .mapNotNull { (sources(ChunkIndex(it)).first() as? ChunkSource.Peer)?.holder?.region }
             .filter { it != self.region }
@@ -119,14 +119,14 @@
             .eachCount()
 
     /** How many chunks this holder's region draws from each other region, all its holders together. */
-    val chunksOnLink: Double get() = chunks.toDouble() / (domainsOf.size - 1).coerceAtLeast(1)
+    val chunksPerLink: Double get() = chunks.toDouble() / (domainsOf.size - 1).coerceAtLeast(1)
 
     private val homeByHash: RegionId by lazy { rendezvousOrder("${version.text} home", domainsOf.keys) { it.text }.first() }
 
     private fun regionLead(
         chunk: ChunkIndex,
         region: RegionId,
-    ): Holder = domainOrder(chunk, domainsInOrder(chunk, region).first()).first()
+    ): WeightHolder = domainOrder(chunk, domainsInOrder(chunk, region).first()).first()
 
     private fun domainsInOrder(
         chunk: ChunkIndex,
@@ -136,7 +136,7 @@
     private fun domainOrder(
         chunk: ChunkIndex,
         domain: DomainId,
-    ): List<Holder> = dealt("holder ${domain.text}", chunk, byDomain.getValue(domain)) { it.daemon.text }
+    ): List<WeightHolder> = dealt("holder ${domain.text}", chunk, byDomain.getValue(domain)) { it.daemon.text }
 
     /** [candidates] in the order in which they stand for [chunk]: the hash order of the level, turned by the chunk's place. */
     private fun <T> dealt(
--- a/control/src/main/kotlin/lagoonrudder/control/LimitController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/ConcurrencyLimitController.kt
@@ -45,8 +45,8 @@
 sealed class LimitDecision {
     data object Admitted : LimitDecision()
 
-    /** The request waits for its turn; see [LimitController.nextAdmitted]. */
-    data object Waits : LimitDecision()
+    /** The request waits for its turn; see [ConcurrencyLimitController.admitNext]. */
+    data object Queued : LimitDecision()
 
     data class Refused(
         val refusal: Refusal,
@@ -60,20 +60,20 @@
     ) : EngineResult()
 
     /** The engine refused, failed or fell over. */
-    data object Trouble : EngineResult()
+    data object Failed : EngineResult()
 
     /** The caller went away; this says nothing about the engine. */
     data object Cancelled : EngineResult()
 }
 
 /** The room of a target at one moment, as entry daemons are told; [inFlight] counts what waits at the target too. */
-data class Room(
+data class TargetLoad(
     val limit: Int,
     val inFlight: Int,
     val freeTokens: Long,
 )
 
-class LimitController(
+class ConcurrencyLimitController(
     private val policy: LimitPolicy,
     private val invariants: Invariants,
 ) {
@@ -95,7 +95,7 @@
     }
 
     /** Notes which life of the engine answers; a new one starts small again. */
-    fun observe(engine: IncarnationId) {
+    fun onEngineIncarnation(engine: IncarnationId) {
         if (engine == incarnation) return
         if (incarnation != null) coldStarts++
         incarnation = engine
@@ -111,11 +111,11 @@
         val mayWait = policy is LimitPolicy.Adaptive && waiting.size < limit.toInt() && tokens <= tokenBudget()
         if (!mayWait) return LimitDecision.Refused(refusalFor(tokens))
         waiting[request] = tokens
-        return LimitDecision.Waits
+        return LimitDecision.Queued
     }
 
     /** The waiting request that has its turn now and is admitted with this call, or null when none has. */
-    fun nextAdmitted(): RequestId? {
+    fun admitNext(): RequestId? {
         val (request, tokens) = waiting.entries.firstOrNull() ?: return null
         if (!fits(tokens)) return null
         waiting.remove(request)
@@ -124,12 +124,12 @@
     }
 
     /** The request does not wait any longer. */
-    fun leave(request: RequestId) {
+    fun withdraw(request: RequestId) {
         waiting.remove(request)
     }
 
     /** Releases what [request] held and learns from its end. */
-    fun finished(
+    fun onRequestFinished(
         request: RequestId,
         result: EngineResult,
         now: Duration,
@@ -143,7 +143,7 @@
         }
     }
 
-    fun room(): Room = Room(limit.toInt(), held.size + waiting.size, (tokenBudget() - heldTokens).coerceAtLeast(0))
+    fun load(): TargetLoad = TargetLoad(limit.toInt(), held.size + waiting.size, (tokenBudget() - heldTokens).coerceAtLeast(0))
 
     fun inFlight(): Int = held.size
 
@@ -190,7 +190,7 @@
     ) {
         when (result) {
             EngineResult.Cancelled -> Unit
-            EngineResult.Trouble -> backOff(policy, now)
+            EngineResult.Failed -> backOff(policy, now)
             is EngineResult.Answered ->
                 if (result.firstToken > policy.firstTokenLimit) backOff(policy, now) else rise(used)
         }
--- a/control/src/main/kotlin/lagoonrudder/control/ConfigurationController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/ConfigurationController.kt
@@ -11,8 +11,8 @@
 import lagoonrudder.model.Invariant
 import lagoonrudder.model.Invariants
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedChanges
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.SnapshotDelta
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Step
 import kotlin.time.Duration
 
@@ -20,9 +20,9 @@
 sealed class ConfigurationOutcome {
     /** The set is in force; [changes] led to it from the one before. */
     data class Accepted(
-        val set: SealedSet,
-        val changes: SealedChanges,
-        val replacedTwin: Boolean,
+        val set: ObjectSnapshot,
+        val changes: SnapshotDelta,
+        val wonConflict: Boolean,
     ) : ConfigurationOutcome()
 
     /** The set was in force already. */
@@ -30,12 +30,12 @@
 
     /** The offer is older than what is in force, or lost against its twin of the same revision. */
     data class Superseded(
-        val inForce: Revision,
-        val twin: Boolean,
+        val active: Revision,
+        val conflicting: Boolean,
     ) : ConfigurationOutcome()
 
     /** Another set came into force while the offer was checked: check it again. */
-    data object BaseMoved : ConfigurationOutcome()
+    data object BaseChanged : ConfigurationOutcome()
 }
 
 /** Whether the process may rely on the set in force. */
@@ -50,19 +50,19 @@
 }
 
 /** A set in force and the process-local time at which it came into force. */
-data class ForcedSet(
-    val set: SealedSet,
+data class ActiveSet(
+    val set: ObjectSnapshot,
     val since: Duration,
 )
 
 class ConfigurationController(
     private val invariants: Invariants,
 ) {
-    var current: SealedSet = SealedSet.EMPTY
+    var current: ObjectSnapshot = ObjectSnapshot.EMPTY
         private set
     var confirmation: Confirmation = Confirmation.Pending(Duration.ZERO, Duration.INFINITE)
         private set
-    private val recent = ArrayDeque<SealedChanges>()
+    private val recent = ArrayDeque<SnapshotDelta>()
     private var alarms = 0
     private var rejections = 0
 
@@ -70,16 +70,16 @@
     fun offer(offered: CheckedSet): ConfigurationOutcome {
         val set = offered.set
         return when {
-            set.revision < current.revision -> ConfigurationOutcome.Superseded(current.revision, twin = false)
+            set.revision < current.revision -> ConfigurationOutcome.Superseded(current.revision, conflicting = false)
             set.revision == current.revision && set.digest == current.digest -> ConfigurationOutcome.Known
-            offered.base !== current -> ConfigurationOutcome.BaseMoved
-            set.revision > current.revision -> accept(offered, replacedTwin = false)
+            offered.base !== current -> ConfigurationOutcome.BaseChanged
+            set.revision > current.revision -> accept(offered, wonConflict = false)
             else -> settleTwins(offered)
         }
     }
 
     /** An offer that could not be read, verified or checked. */
-    fun rejected() {
+    fun onRejected() {
         rejections++
     }
 
@@ -87,10 +87,10 @@
     fun changesSince(
         base: Revision,
         baseDigest: Digest,
-    ): SealedChanges? = recent.firstOrNull { it.base == base && it.baseDigest == baseDigest && it.revision == current.revision }
+    ): SnapshotDelta? = recent.firstOrNull { it.base == base && it.baseDigest == baseDigest && it.revision == current.revision }
 
     /** Starts to ask peers and the platform; new work waits until [confirm] or [limit] has passed. */
-    fun suspectStale(
+    fun requireConfirmation(
         now: Duration,
         limit: Duration,
     ) {
@@ -126,13 +126,13 @@
 
     private fun settleTwins(offered: CheckedSet): ConfigurationOutcome {
         alarms++
-        if (offered.set.digest < current.digest) return ConfigurationOutcome.Superseded(current.revision, twin = true)
-        return accept(offered, replacedTwin = true)
+        if (offered.set.digest < current.digest) return ConfigurationOutcome.Superseded(current.revision, conflicting = true)
+        return accept(offered, wonConflict = true)
     }
 
     private fun accept(
         offered: CheckedSet,
-        replacedTwin: Boolean,
+        wonConflict: Boolean,
     ): ConfigurationOutcome {
         val set = offered.set
         invariants.check(
@@ -143,10 +143,10 @@
         ) { "from=${current.revision.number} to=${set.revision.number}" }
         current = set
         remember(offered.changes)
-        return ConfigurationOutcome.Accepted(set, offered.changes, replacedTwin)
+        return ConfigurationOutcome.Accepted(set, offered.changes, wonConflict)
     }
 
-    private fun remember(changes: SealedChanges) {
+    private fun remember(changes: SnapshotDelta) {
         val extended = recent.map { join(it, changes) }
         recent.clear()
         recent.addAll(extended)
@@ -158,9 +158,9 @@
     }
 
     private fun join(
-        first: SealedChanges,
-        second: SealedChanges,
-    ): SealedChanges {
+        first: SnapshotDelta,
+        second: SnapshotDelta,
+    ): SnapshotDelta {
         val changed = first.changes.changed.associateBy { it.key } - second.changes.removed.toSet()
         val removed =
             first.changes.removed.toSet() -
--- a/control/src/main/kotlin/lagoonrudder/control/ControlThread.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/ControlThread.kt
@@ -46,7 +46,7 @@
     fun lag(): Duration = longestWaitNanoseconds.getAndSet(0).nanoseconds
 
     /** The number of decisions and the time spent in them since the start. */
-    fun work(): ControlWork = ControlWork(decisions.get(), busyNanoseconds.get().nanoseconds)
+    fun usage(): ControlThreadUsage = ControlThreadUsage(decisions.get(), busyNanoseconds.get().nanoseconds)
 
     override fun close() {
         if (dispatcher is ExecutorCoroutineDispatcher) dispatcher.close()
@@ -95,7 +95,7 @@
     }
 }
 
-data class ControlWork(
+data class ControlThreadUsage(
     val decisions: Long,
     val busy: Duration,
 )
--- a/control/src/main/kotlin/lagoonrudder/control/DispatchController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/DispatchController.kt
@@ -13,19 +13,19 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-sealed class Dispatched {
+sealed class DispatchResult {
     abstract val request: RequestId
 
-    data class Go(
+    data class Sent(
         override val request: RequestId,
         val target: TargetId,
         val domain: DomainId,
-    ) : Dispatched()
+    ) : DispatchResult()
 
     data class Refused(
         override val request: RequestId,
         val refusal: Refusal,
-    ) : Dispatched()
+    ) : DispatchResult()
 }
 
 class DispatchController(
@@ -33,7 +33,7 @@
     private val routing: RoutingController,
 ) {
     private class Asked(
-        val need: Need,
+        val need: RoutingRequest,
         val since: Duration,
     )
 
@@ -41,89 +41,89 @@
     private val asked = mutableMapOf<RequestId, Asked>()
 
     /** Lets a new request into its line. */
-    fun enter(
-        waiting: Waiting,
-        need: Need,
+    fun enqueue(
+        waiting: QueuedRequest,
+        need: RoutingRequest,
         now: Duration,
     ): QueueDecision {
-        val decision = admission.enter(waiting, now)
+        val decision = admission.enqueue(waiting, now)
         if (decision is QueueDecision.Queued) asked[waiting.id] = Asked(need, now)
         return decision
     }
 
     /** Lets a request that a target turned away or lost wait again, ahead of the others. */
-    fun reenter(
-        waiting: Waiting,
-        need: Need,
+    fun requeue(
+        waiting: QueuedRequest,
+        need: RoutingRequest,
         now: Duration,
     ) {
-        admission.reenter(waiting)
+        admission.requeue(waiting)
         asked[waiting.id] = Asked(need, now)
     }
 
     /** The caller of [waiting] has gone. */
-    fun leave(waiting: Waiting) {
+    fun withdraw(waiting: QueuedRequest) {
         asked.remove(waiting.id)
         admission.remove(waiting)
     }
 
     /** The request ended at [target], [heldBack] by its caller for a part of the time. */
-    fun ended(
-        waiting: Waiting,
+    fun onRequestEnded(
+        waiting: QueuedRequest,
         target: TargetId,
         failed: Boolean,
         heldBack: Duration,
         now: Duration,
     ) {
-        routing.finished(target, failed, now)
+        routing.onRequestFinished(target, failed, now)
         val since = sent.remove(waiting.id) ?: return
-        if (!failed) admission.ended(waiting, (now - since - heldBack).coerceAtLeast(Duration.ZERO), now)
+        if (!failed) admission.onRequestEnded(waiting, (now - since - heldBack).coerceAtLeast(Duration.ZERO), now)
     }
 
     /** Sends off everyone for whom there is room and refuses those who have waited in vain. */
-    fun pump(now: Duration): List<Dispatched> {
+    fun dispatchWaiting(now: Duration): List<DispatchResult> {
         val late = admission.expire(now).map { refuse(it, Refusal.TooLate(RETRY)) }
-        return late + admission.waitingLines().flatMap { pumpLine(it, now) }
+        return late + admission.nonEmptyQueues().flatMap { pumpLine(it, now) }
     }
 
     private fun pumpLine(
-        line: QueueLine,
+        line: QueueKey,
         now: Duration,
-    ): List<Dispatched> {
-        val dispatched = mutableListOf<Dispatched>()
+    ): List<DispatchResult> {
+        val dispatched = mutableListOf<DispatchResult>()
         while (true) {
-            val head = admission.head(line) ?: return dispatched
-            dispatched += decide(head, now) ?: return dispatched
+            val peek = admission.peek(line) ?: return dispatched
+            dispatched += decide(peek, now) ?: return dispatched
         }
     }
 
-    /** What becomes of [head] now; null when it must wait. */
+    /** What becomes of [peek] now; null when it must wait. */
     private fun decide(
-        head: Waiting,
+        peek: QueuedRequest,
         now: Duration,
-    ): Dispatched? {
-        val request = asked[head.id] ?: return drop(head)
-        return when (val choice = routing.choose(request.need, now)) {
-            is Choice.Chosen -> {
-                asked.remove(head.id)
-                admission.take(head)
-                sent[head.id] = now
-                Dispatched.Go(head.id, choice.target, choice.domain)
+    ): DispatchResult? {
+        val request = asked[peek.id] ?: return drop(peek)
+        return when (val choice = routing.selectTarget(request.need, now)) {
+            is RoutingDecision.Selected -> {
+                asked.remove(peek.id)
+                admission.take(peek)
+                sent[peek.id] = now
+                DispatchResult.Sent(peek.id, choice.target, choice.domain)
             }
-            Choice.NoRoom -> null
-            Choice.NoTarget -> if (now - request.since < PATIENCE) null else refuse(head, Refusal.NoTarget(RETRY))
+            RoutingDecision.NoCapacity -> null
+            RoutingDecision.NoTarget -> if (now - request.since < PATIENCE) null else refuse(peek, Refusal.NoTarget(RETRY))
         }
     }
 
     private fun refuse(
-        waiting: Waiting,
+        waiting: QueuedRequest,
         refusal: Refusal,
-    ): Dispatched {
+    ): DispatchResult {
         drop(waiting)
-        return Dispatched.Refused(waiting.id, refusal)
+        return DispatchResult.Refused(waiting.id, refusal)
     }
 
-    private fun drop(waiting: Waiting): Dispatched? {
+    private fun drop(waiting: QueuedRequest): DispatchResult? {
         asked.remove(waiting.id)
         admission.remove(waiting)
         return null
--- a/control/src/main/kotlin/lagoonrudder/control/SpreadController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/DisseminationController.kt
@@ -14,27 +14,27 @@
 import kotlin.random.Random
 
 /** How revisions reach the daemons of a failure domain. */
-sealed class SpreadPolicy {
+sealed class DisseminationPolicy {
     /** Every daemon holds a watch of its own: the baseline. */
-    data object WatchAll : SpreadPolicy()
+    data object WatchAll : DisseminationPolicy()
 
     /** [watchers] daemons hold the watch and each daemon passes a revision on to [fanOut] others. */
     data class Tree(
         val watchers: Int = 2,
         val fanOut: Int = 4,
-    ) : SpreadPolicy()
+    ) : DisseminationPolicy()
 }
 
-class SpreadController(
+class DisseminationController(
     private val self: DaemonId,
-    private val policy: SpreadPolicy,
+    private val policy: DisseminationPolicy,
     private val random: Random,
 ) {
     /** Whether this daemon holds a watch, given the live daemons of its domain, itself among them. */
-    fun watches(live: Collection<DaemonId>): Boolean =
+    fun shouldWatch(live: Collection<DaemonId>): Boolean =
         when (policy) {
-            SpreadPolicy.WatchAll -> true
-            is SpreadPolicy.Tree -> self in order(WATCH_SUBJECT, live + self).take(policy.watchers)
+            DisseminationPolicy.WatchAll -> true
+            is DisseminationPolicy.Tree -> self in order(WATCH_SUBJECT, live + self).take(policy.watchers)
         }
 
     /** The daemons to pass [revision] on to, one hop further down the tree. */
@@ -43,15 +43,15 @@
         live: Collection<DaemonId>,
     ): List<DaemonId> =
         when (policy) {
-            SpreadPolicy.WatchAll -> emptyList()
-            is SpreadPolicy.Tree -> treeChildren(policy, revision, live)
+            DisseminationPolicy.WatchAll -> emptyList()
+            is DisseminationPolicy.Tree -> treeChildren(policy, revision, live)
         }
 
     /** A random peer for an exchange, or null when there is none. */
     fun exchangePeer(live: Collection<DaemonId>): DaemonId? = (live - self).toList().randomOrNull(random)
 
     private fun treeChildren(
-        policy: SpreadPolicy.Tree,
+        policy: DisseminationPolicy.Tree,
         revision: Revision,
         live: Collection<DaemonId>,
     ): List<DaemonId> {
--- a/control/src/main/kotlin/lagoonrudder/control/RepeatController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/IdempotencyController.kt
@@ -2,7 +2,7 @@
  * Decides at a target daemon whether a request that may run at most once may run now.
  *
  * All requests of one key go to one owner, which the published object set alone names. The owner remembers the keys it
- * ran for [RepeatPolicy.memory]. What it can't remember it must not run: keys that may have been run before this process
+ * ran for [IdempotencyPolicy.retention]. What it can't remember it must not run: keys that may have been run before this process
  * started, or before the key became this target's, are answered as uncertain. A key that carries its time of issue (a
  * version 7 UUID) proves that it is younger than that; other keys wait until the memory is old enough.
  */
@@ -14,7 +14,7 @@
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.rendezvousFirst
@@ -25,63 +25,63 @@
 import kotlin.time.Instant
 
 /**
- * [memory] is how long a key is remembered and the longest age of a key that may run; [clockSkew] bounds the difference
- * between clocks; [spread] bounds the time a published set takes to reach all; [permitLife] bounds how long a reservation
- * is good for; [keysHeld] bounds the keys and [answerBytesHeld] the answers in memory.
+ * [retention] is how long a key is remembered and the longest age of a key that may run; [clockSkew] bounds the difference
+ * between clocks; [propagationDelay] bounds the time a published set takes to reach all; [permitTtl] bounds how long a reservation
+ * is good for; [maxKeys] bounds the keys and [maxResponseBytes] the answers in memory.
  */
-data class RepeatPolicy(
-    val memory: Duration = 10.minutes,
+data class IdempotencyPolicy(
+    val retention: Duration = 10.minutes,
     val clockSkew: Duration = 5.seconds,
-    val spread: Duration = 10.seconds,
-    val permitLife: Duration = 2.seconds,
-    val keysHeld: Int = 100_000,
-    val answerBytesHeld: Long = 8_000_000,
+    val propagationDelay: Duration = 10.seconds,
+    val permitTtl: Duration = 2.seconds,
+    val maxKeys: Int = 100_000,
+    val maxResponseBytes: Long = 8_000_000,
 )
 
 /** The answer of a run, kept for repeats of its key. */
-class RecordedAnswer(
+class RecordedResponse(
     val status: Int,
     val contentType: String,
     val body: ByteArray,
 )
 
-sealed class RepeatDecision {
+sealed class IdempotencyDecision {
     /** The request may run when it comes with [permit] before the permit ends. */
     data class Permitted(
         val permit: Long,
-    ) : RepeatDecision()
+    ) : IdempotencyDecision()
 
-    /** The request ran before; [answer] is what it answered, or null when that is no longer held. */
-    data class RanBefore(
-        val answer: RecordedAnswer?,
-    ) : RepeatDecision()
+    /** The request ran before; [response] is what it answered, or null when that is no longer held. */
+    data class AlreadyRan(
+        val response: RecordedResponse?,
+    ) : IdempotencyDecision()
 
     /** It runs at this moment, or it may have run before this process could know. */
     data class Uncertain(
         val detail: String,
-    ) : RepeatDecision()
+    ) : IdempotencyDecision()
 
     data class Refused(
         val refusal: Refusal,
-    ) : RepeatDecision()
+    ) : IdempotencyDecision()
 
     /** The key lately belonged to [owners]: it may run here once each of them has surrendered it unseen. */
-    data class AskOwners(
+    data class QueryPreviousOwners(
         val owners: List<TargetId>,
-    ) : RepeatDecision()
+    ) : IdempotencyDecision()
 }
 
 /** What an earlier owner says when it gives a key up. It will not run the key while another target owns it. */
-sealed class Surrender {
-    data object Unseen : Surrender()
+sealed class SurrenderResult {
+    data object Released : SurrenderResult()
 
-    data class RanBefore(
-        val answer: RecordedAnswer?,
-    ) : Surrender()
+    data class AlreadyRan(
+        val response: RecordedResponse?,
+    ) : SurrenderResult()
 
     data class Uncertain(
         val detail: String,
-    ) : Surrender()
+    ) : SurrenderResult()
 }
 
 sealed class RunDecision {
@@ -93,9 +93,9 @@
     ) : RunDecision()
 }
 
-class RepeatController(
+class IdempotencyController(
     private val self: TargetId,
-    private val policy: RepeatPolicy,
+    private val policy: IdempotencyPolicy,
     private val invariants: Invariants,
     startedAt: Instant,
     startedElapsed: Duration,
@@ -117,7 +117,7 @@
         data object Lost : KeyState()
 
         data class Ended(
-            val answer: RecordedAnswer?,
+            val response: RecordedResponse?,
         ) : KeyState()
     }
 
@@ -135,7 +135,7 @@
         val sinceElapsed: Duration,
     )
 
-    private val entries = LinkedHashMap<RepeatKey, Entry>()
+    private val entries = LinkedHashMap<IdempotencyKey, Entry>()
     private val history = ArrayDeque<Ownership>()
     private val start = Ownership(emptyList(), startedAt, startedElapsed)
     private var nextPermit = 1L
@@ -149,27 +149,27 @@
     ) {
         if (history.lastOrNull()?.targets == targets) return
         history.addLast(Ownership(targets, date, now))
-        while (history.size > 1 && now - history[1].sinceElapsed > policy.memory + policy.spread) history.removeFirst()
+        while (history.size > 1 && now - history[1].sinceElapsed > policy.retention + policy.propagationDelay) history.removeFirst()
     }
 
     /**
-     * Decides on a request with [key] and [body]; nothing runs before [begin]. [cleared] are earlier owners that have
+     * Decides on a request with [key] and [body]; nothing runs before [beginRun]. [cleared] are earlier owners that have
      * surrendered the key unseen.
      */
     fun reserve(
-        key: RepeatKey,
+        key: IdempotencyKey,
         body: Digest,
         now: Duration,
         date: Instant,
         cleared: Set<TargetId> = emptySet(),
-    ): RepeatDecision {
+    ): IdempotencyDecision {
         forgetOld(now)
         val known = entries[key]?.takeUnless { it.state is KeyState.Surrendered }
         if (known != null) return repeat(known, body, now)
         refusalForNew(key, date)?.let { return it }
-        unsafeReason(key, now, date)?.let { return RepeatDecision.Uncertain(it) }
+        unsafeReason(key, now, date)?.let { return IdempotencyDecision.Uncertain(it) }
         val owners = earlierOwners(key, now) - cleared
-        if (owners.isNotEmpty()) return RepeatDecision.AskOwners(owners)
+        if (owners.isNotEmpty()) return IdempotencyDecision.QueryPreviousOwners(owners)
         val entry = Entry(body, KeyState.Open, now)
         entries[key] = entry
         return permit(entry, now)
@@ -177,22 +177,22 @@
 
     /** Gives [key] up to its new owner. A permit that is still out becomes void; a run that began is told. */
     fun surrender(
-        key: RepeatKey,
+        key: IdempotencyKey,
         now: Duration,
         date: Instant,
-    ): Surrender {
+    ): SurrenderResult {
         val entry = entries.getOrPut(key) { Entry(NO_BODY, KeyState.Open, now) }
         return when (val state = entry.state) {
             KeyState.Open, is KeyState.Permitted, KeyState.Surrendered -> giveUp(entry, key, now, date)
-            KeyState.Running -> Surrender.Uncertain("the request with this key is running at its earlier owner")
-            KeyState.Lost -> Surrender.Uncertain("the request with this key was started at its earlier owner and its end is not known")
-            is KeyState.Ended -> Surrender.RanBefore(state.answer)
+            KeyState.Running -> SurrenderResult.Uncertain("the request with this key is running at its earlier owner")
+            KeyState.Lost -> SurrenderResult.Uncertain("the request with this key was started at its earlier owner and its end is not known")
+            is KeyState.Ended -> SurrenderResult.AlreadyRan(state.response)
         }
     }
 
     /** Starts the run of [key] if [permit] is the one given out last and still good. */
-    fun begin(
-        key: RepeatKey,
+    fun beginRun(
+        key: IdempotencyKey,
         permit: Long,
         now: Duration,
     ): RunDecision {
@@ -207,29 +207,29 @@
         return RunDecision.Run
     }
 
-    /** The run of [key] ended with [answer]. */
-    fun ended(
-        key: RepeatKey,
-        answer: RecordedAnswer,
+    /** The run of [key] ended with [response]. */
+    fun onRunEnded(
+        key: IdempotencyKey,
+        response: RecordedResponse,
         now: Duration,
     ) {
         val entry = entries[key] ?: return
-        val held = answer.takeIf { answerBytes + it.body.size <= policy.answerBytesHeld }
+        val held = response.takeIf { answerBytes + it.body.size <= policy.maxResponseBytes }
         answerBytes += held?.body?.size ?: 0
         entry.state = KeyState.Ended(held)
         entry.touched = now
     }
 
     /** The run of [key] proved not to have reached the back end: the key may run later. */
-    fun notRun(key: RepeatKey) {
+    fun onNotRun(key: IdempotencyKey) {
         val entry = entries[key] ?: return
         entry.runs = 0
         entry.state = KeyState.Open
     }
 
     /** The run of [key] broke and may have happened. */
-    fun lost(
-        key: RepeatKey,
+    fun onRunLost(
+        key: IdempotencyKey,
         now: Duration,
     ) {
         val entry = entries[key] ?: return
@@ -251,83 +251,83 @@
         known: Entry,
         body: Digest,
         now: Duration,
-    ): RepeatDecision {
-        if (known.body != body) return RepeatDecision.Refused(Refusal.Invalid("a key of its own: this key came with another body"))
+    ): IdempotencyDecision {
+        if (known.body != body) return IdempotencyDecision.Refused(Refusal.Invalid("a key of its own: this key came with another body"))
         return when (val state = known.state) {
             KeyState.Open, is KeyState.Permitted, KeyState.Surrendered -> permit(known, now)
-            KeyState.Running -> RepeatDecision.Uncertain("the request with this key is running")
-            KeyState.Lost -> RepeatDecision.Uncertain("the request with this key was started and its end is not known")
-            is KeyState.Ended -> RepeatDecision.RanBefore(state.answer)
+            KeyState.Running -> IdempotencyDecision.Uncertain("the request with this key is running")
+            KeyState.Lost -> IdempotencyDecision.Uncertain("the request with this key was started and its end is not known")
+            is KeyState.Ended -> IdempotencyDecision.AlreadyRan(state.response)
         }
     }
 
     private fun permit(
         entry: Entry,
         now: Duration,
-    ): RepeatDecision {
+    ): IdempotencyDecision {
         val permit = nextPermit++
-        entry.state = KeyState.Permitted(permit, now + policy.permitLife)
+        entry.state = KeyState.Permitted(permit, now + policy.permitTtl)
         entry.touched = now
-        return RepeatDecision.Permitted(permit)
+        return IdempotencyDecision.Permitted(permit)
     }
 
     private fun refusalForNew(
-        key: RepeatKey,
+        key: IdempotencyKey,
         date: Instant,
-    ): RepeatDecision? {
+    ): IdempotencyDecision? {
         val owned = history.lastOrNull()?.let { ownerOf(key, it.targets) } == self
         val issued = issueTime(key)
         val refusal =
             when {
                 !owned -> Refusal.NotServing(PERMIT_RETRY, "another target owns this key")
                 issued != null && issued > date + policy.clockSkew -> Refusal.Invalid("a key that was not issued in the future")
-                entries.size >= policy.keysHeld -> Refusal.Overloaded(PERMIT_RETRY)
+                entries.size >= policy.maxKeys -> Refusal.Overloaded(PERMIT_RETRY)
                 else -> null
             }
-        return refusal?.let { RepeatDecision.Refused(it) }
+        return refusal?.let { IdempotencyDecision.Refused(it) }
     }
 
     private fun giveUp(
         entry: Entry,
-        key: RepeatKey,
+        key: IdempotencyKey,
         now: Duration,
         date: Instant,
-    ): Surrender {
+    ): SurrenderResult {
         val owned = history.lastOrNull()?.let { ownerOf(key, it.targets) } == self
-        if (owned) return Surrender.Uncertain("the earlier owner still takes the key for its own")
+        if (owned) return SurrenderResult.Uncertain("the earlier owner still takes the key for its own")
         entry.state = KeyState.Surrendered
         entry.touched = now
-        return unsafeReason(key, now, date)?.let { Surrender.Uncertain(it) } ?: Surrender.Unseen
+        return unsafeReason(key, now, date)?.let { SurrenderResult.Uncertain(it) } ?: SurrenderResult.Released
     }
 
     /** Why a key that isn't in memory may have run in an earlier life of this process, or null when it can't have. */
     private fun unsafeReason(
-        key: RepeatKey,
+        key: IdempotencyKey,
         now: Duration,
         date: Instant,
     ): String? {
         val issued = issueTime(key)
-        if (issued != null && issued < date - policy.memory + policy.clockSkew) return "the key is older than the memory of keys"
+        if (issued != null && issued < date - policy.retention + policy.clockSkew) return "the key is older than the memory of keys"
         val safe = isYounger(issued, start, Duration.ZERO, now)
         return if (safe) null else "the key may have run before this process could remember it"
     }
 
     /** The targets that owned [key] while it may already have been sent, before it became this target's. */
     private fun earlierOwners(
-        key: RepeatKey,
+        key: IdempotencyKey,
         now: Duration,
     ): List<TargetId> {
         val issued = issueTime(key)
         val moves =
             history.indices.drop(1).filter {
                 becameOwner(key, it, history[it]) &&
-                    !isYounger(issued, history[it], policy.spread, now)
+                    !isYounger(issued, history[it], policy.propagationDelay, now)
             }
         return moves.mapNotNull { ownerOf(key, history[it - 1].targets) }.distinct()
     }
 
     private fun becameOwner(
-        key: RepeatKey,
+        key: IdempotencyKey,
         index: Int,
         ownership: Ownership,
     ): Boolean = ownerOf(key, ownership.targets) == self && ownerOf(key, history[index - 1].targets) != self
@@ -335,13 +335,13 @@
     private fun isYounger(
         issued: Instant?,
         bound: Ownership,
-        spread: Duration,
+        propagationDelay: Duration,
         now: Duration,
     ): Boolean =
         if (issued != null) {
-            issued > bound.sinceInstant + policy.clockSkew + spread
+            issued > bound.sinceInstant + policy.clockSkew + propagationDelay
         } else {
-            now - bound.sinceElapsed > policy.memory + spread
+            now - bound.sinceElapsed > policy.retention + propagationDelay
         }
 
     private fun forgetOld(now: Duration) {
@@ -350,9 +350,9 @@
         while (iterator.hasNext() && looked < FORGET_STEPS) {
             looked++
             val entry = iterator.next().value
-            if (now - entry.touched <= policy.memory + policy.clockSkew * 2) break
+            if (now - entry.touched <= policy.retention + policy.clockSkew * 2) break
             if (entry.state is KeyState.Running) continue
-            answerBytes -= (entry.state as? KeyState.Ended)?.answer?.body?.size ?: 0
+            answerBytes -= (entry.state as? KeyState.Ended)?.response?.body?.size ?: 0
             iterator.remove()
         }
     }
@@ -376,7 +376,7 @@
 
 /** The owner of [key] among [targets]; the same in every process that has the same set in force. */
 fun ownerOf(
-    key: RepeatKey,
+    key: IdempotencyKey,
     targets: List<TargetId>,
 ): TargetId? = rendezvousFirst(key.text, targets) { it.text }
 
@@ -386,7 +386,7 @@
 private const val HEXADECIMAL = 16
 
 /** The time at which [key] was issued when it is a version 7 UUID, otherwise null. */
-fun issueTime(key: RepeatKey): Instant? {
+fun issueTime(key: IdempotencyKey): Instant? {
     val text = key.text.lowercase()
     if (!text.matches(version7)) return null
     val milliseconds = text.replace("-", "").take(TIME_DIGITS).toLong(HEXADECIMAL)
--- a/control/src/main/kotlin/lagoonrudder/control/MembershipController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/MembershipController.kt
@@ -87,7 +87,7 @@
     }
 
     /** [daemon] answered. */
-    fun alive(daemon: DaemonId) {
+    fun clearSuspicion(daemon: DaemonId) {
         suspectedUntil.remove(daemon)
     }
 
@@ -97,7 +97,7 @@
     ): Boolean = (suspectedUntil[daemon] ?: Duration.ZERO) > now
 
     /** The daemons of [domain] that are listed, not leaving and not suspected; always with this process itself. */
-    fun live(
+    fun liveDaemons(
         domain: DomainId,
         now: Duration,
     ): List<DaemonId> {
--- a/control/src/main/kotlin/lagoonrudder/control/PrefixMemory.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/PrefixAffinity.kt
@@ -7,7 +7,7 @@
 
 import lagoonrudder.model.TargetId
 
-internal class PrefixMemory(
+internal class PrefixAffinity(
     private val most: Int = 10_000,
 ) {
     private val targets =
--- a/control/src/main/kotlin/lagoonrudder/control/WaitingLine.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/RequestQueue.kt
@@ -14,9 +14,9 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-internal class WaitingLine {
+internal class RequestQueue {
     private class Tagged(
-        val waiting: Waiting,
+        val waiting: QueuedRequest,
         val sequence: Long,
     )
 
@@ -43,7 +43,7 @@
 
     /** Adds a request; one that waits [again] goes before all others of its customer and priority. */
     fun add(
-        waiting: Waiting,
+        waiting: QueuedRequest,
         again: Boolean,
     ) {
         val share = shares.getOrPut(waiting.customer) { Share(waiting.weight, level) }
@@ -53,7 +53,7 @@
         size++
     }
 
-    fun head(policy: QueuePolicy): Waiting? {
+    fun peek(policy: QueuePolicy): QueuedRequest? {
         val firsts = shares.values.mapNotNull { share -> share.first()?.let { share to it } }
         val chosen =
             when (policy) {
@@ -68,7 +68,7 @@
     }
 
     /** Takes a request that goes, and charges its customer. */
-    fun take(waiting: Waiting): Boolean {
+    fun take(waiting: QueuedRequest): Boolean {
         val share = shares[waiting.customer] ?: return false
         if (!remove(waiting)) return false
         level = max(level, tagOf(share, waiting))
@@ -77,7 +77,7 @@
     }
 
     /** Takes a request out that does not go. */
-    fun remove(waiting: Waiting): Boolean {
+    fun remove(waiting: QueuedRequest): Boolean {
         val share = shares[waiting.customer] ?: return false
         val found = share.waiting.removeIf { it.waiting.id == waiting.id }
         if (found) size--
@@ -89,7 +89,7 @@
     fun late(
         policy: QueuePolicy,
         now: Duration,
-    ): List<Waiting> =
+    ): List<QueuedRequest> =
         shares.values.flatMap { share ->
             share.waiting.map { it.waiting }.filter {
                 now + (if (policy is QueuePolicy.WeightedFair) serviceTime(it, now) else Duration.ZERO) >
@@ -99,7 +99,7 @@
 
     /** Learns how often requests end and how long they take at a target. */
     fun learn(
-        waiting: Waiting,
+        waiting: QueuedRequest,
         service: Duration,
         now: Duration,
     ) {
@@ -114,13 +114,13 @@
      * everyone tries again.
      */
     fun serviceTime(
-        waiting: Waiting,
+        waiting: QueuedRequest,
         now: Duration,
     ): Duration = (secondsForCost * waiting.cost * freshness(now)).seconds
 
     /** The expected wait of a newcomer: what goes before it, at the rate at which requests end. */
     fun forecast(
-        newcomer: Waiting,
+        newcomer: QueuedRequest,
         now: Duration,
     ): Duration {
         if (secondsForEach == 0.0 || size == 0) return Duration.ZERO
@@ -136,7 +136,7 @@
     /** What orders the customers: the charge, less the advance of the priority. */
     private fun tagOf(
         share: Share,
-        waiting: Waiting,
+        waiting: QueuedRequest,
     ): Double = share.charged - PRIORITY_ADVANCE * waiting.priority
 
     private fun freshness(now: Duration): Double {
@@ -149,7 +149,7 @@
         seen: Double,
     ): Double = if (known == 0.0) seen else known * KEEP + seen * (1 - KEEP)
 
-    private fun costShare(waiting: Waiting): Double = waiting.cost.toDouble() / waiting.weight
+    private fun costShare(waiting: QueuedRequest): Double = waiting.cost.toDouble() / waiting.weight
 
     private companion object {
         const val KEEP = 0.9
--- a/control/src/main/kotlin/lagoonrudder/control/ReaderMemoryController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/ResponseBufferController.kt
@@ -15,27 +15,27 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** How memory for readers is bounded. */
-sealed class ReaderMemoryPolicy {
+sealed class ResponseBufferPolicy {
     /** Everything that arrives is held: the baseline. */
-    data object Unbounded : ReaderMemoryPolicy()
+    data object Unbounded : ResponseBufferPolicy()
 
     /** [window] bounds one answer, [budget] all of them, in bytes; a reader that stalls for [patience] may be parked. */
     data class Windowed(
         val window: Long = 64_000,
         val budget: Long = 16_000_000,
         val patience: Duration = 2.seconds,
-    ) : ReaderMemoryPolicy()
+    ) : ResponseBufferPolicy()
 }
 
-sealed class HoldDecision {
-    data object Hold : HoldDecision()
+sealed class BufferDecision {
+    data object Granted : BufferDecision()
 
     /** The stream waits until its caller has read more. */
-    data object Wait : HoldDecision()
+    data object Wait : BufferDecision()
 }
 
-class ReaderMemoryController(
-    private val policy: ReaderMemoryPolicy,
+class ResponseBufferController(
+    private val policy: ResponseBufferPolicy,
     private val invariants: Invariants,
 ) {
     private class Reader(
@@ -51,46 +51,46 @@
     /** The bytes held for all readers. */
     fun held(): Long = total
 
-    /** Opens an answer that may hold [base] bytes without asking; [HoldDecision.Wait] when the budget has no room for it. */
+    /** Opens an answer that may hold [base] bytes without asking; [BufferDecision.Wait] when the budget has no room for it. */
     fun open(
         request: RequestId,
         base: Long,
         now: Duration,
-    ): HoldDecision {
+    ): BufferDecision {
         readers[request] = Reader(lastRead = now)
-        val decision = hold(request, base, PERCENT)
-        if (decision is HoldDecision.Wait) readers.remove(request)
+        val decision = reserve(request, base, PERCENT)
+        if (decision is BufferDecision.Wait) readers.remove(request)
         return decision
     }
 
     /** Asks to hold [bytes] more for [request]; the last part of the budget is kept for answers that begin. */
-    fun hold(
+    fun reserve(
         request: RequestId,
         bytes: Long,
-    ): HoldDecision = hold(request, bytes, GROWTH_PERCENT)
+    ): BufferDecision = reserve(request, bytes, GROWTH_PERCENT)
 
-    private fun hold(
+    private fun reserve(
         request: RequestId,
         bytes: Long,
         percentOfBudget: Int,
-    ): HoldDecision {
-        val reader = readers[request] ?: return HoldDecision.Wait
+    ): BufferDecision {
+        val reader = readers[request] ?: return BufferDecision.Wait
         val allowed =
             when (policy) {
-                ReaderMemoryPolicy.Unbounded -> true
-                is ReaderMemoryPolicy.Windowed ->
+                ResponseBufferPolicy.Unbounded -> true
+                is ResponseBufferPolicy.Windowed ->
                     reader.held + bytes <= policy.window &&
                         total + bytes <= policy.budget * percentOfBudget / PERCENT
             }
-        if (!allowed) return HoldDecision.Wait
+        if (!allowed) return BufferDecision.Wait
         reader.held += bytes
         total += bytes
         checkBudget()
-        return HoldDecision.Hold
+        return BufferDecision.Granted
     }
 
     /** The caller of [request] has taken [bytes]. */
-    fun read(
+    fun onRead(
         request: RequestId,
         bytes: Long,
         now: Duration,
@@ -105,13 +105,13 @@
      * The stream that should give up its back end now, or null when nobody is stalled or nobody else needs the room:
      * neither the budget is short nor do [othersWait] for a target.
      */
-    fun victim(
+    fun selectVictim(
         othersWait: Boolean,
         now: Duration,
     ): RequestId? =
         when (policy) {
-            ReaderMemoryPolicy.Unbounded -> null
-            is ReaderMemoryPolicy.Windowed -> mostCostly(policy, othersWait, now)
+            ResponseBufferPolicy.Unbounded -> null
+            is ResponseBufferPolicy.Windowed -> mostCostly(policy, othersWait, now)
         }
 
     /** The stream gives up its back end. */
@@ -121,7 +121,7 @@
     }
 
     /** The caller of a parked stream has read what was held; the stream goes on. */
-    fun resumed(
+    fun onResumed(
         request: RequestId,
         now: Duration,
     ) {
@@ -144,7 +144,7 @@
         }
 
     private fun mostCostly(
-        policy: ReaderMemoryPolicy.Windowed,
+        policy: ResponseBufferPolicy.Windowed,
         othersWait: Boolean,
         now: Duration,
     ): RequestId? {
@@ -159,8 +159,8 @@
     private fun checkBudget() {
         val budget =
             when (policy) {
-                ReaderMemoryPolicy.Unbounded -> Long.MAX_VALUE
-                is ReaderMemoryPolicy.Windowed -> policy.budget
+                ResponseBufferPolicy.Unbounded -> Long.MAX_VALUE
+                is ResponseBufferPolicy.Windowed -> policy.budget
             }
         invariants.check(total <= budget, Invariant.READER_MEMORY_WITHIN_BUDGET, Step.RELAY) { "held=$total budget=$budget" }
     }
--- a/control/src/main/kotlin/lagoonrudder/control/RetryBudget.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/RetryBudget.kt
@@ -12,7 +12,7 @@
 ) {
     private var saved = most / 2
 
-    fun attempted() {
+    fun onFirstAttempt() {
         saved = min(saved + share, most)
     }
 
--- a/control/src/main/kotlin/lagoonrudder/control/RoutingController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/RoutingController.kt
@@ -21,31 +21,31 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** How a target is chosen among those that may serve. */
-sealed class ChoicePolicy {
+sealed class LoadBalancingPolicy {
     /** Each in turn, whatever its load: a baseline. */
-    data object RoundRobin : ChoicePolicy()
+    data object RoundRobin : LoadBalancingPolicy()
 
     /** The one with the fewest requests of this process, whatever others send: a baseline. */
-    data object LeastInFlight : ChoicePolicy()
+    data object LeastInFlight : LoadBalancingPolicy()
 
     /** The one with more room of [choices] drawn at random; a known prompt prefix counts as [prefixBonus] of room. */
     data class FreshRoom(
         val choices: Int = 2,
         val prefixBonus: Double = 0.25,
-    ) : ChoicePolicy()
+    ) : LoadBalancingPolicy()
 }
 
 /** What a target daemon tells of itself. */
 data class TargetReport(
     val target: TargetId,
     val incarnation: IncarnationId,
-    val room: Room,
+    val load: TargetLoad,
     val version: VersionId?,
     val accepting: Boolean,
 )
 
 /** What a request needs of a target. [bytes] is what it may carry over a link, body and answer together. */
-data class Need(
+data class RoutingRequest(
     val fleet: FleetId,
     val owner: TargetId?,
     val tokens: Long,
@@ -54,23 +54,23 @@
     val excluded: Set<TargetId>,
 )
 
-sealed class Choice {
-    data class Chosen(
+sealed class RoutingDecision {
+    data class Selected(
         val target: TargetId,
         val domain: DomainId,
-    ) : Choice()
+    ) : RoutingDecision()
 
     /** Some target may serve it later. */
-    data object NoRoom : Choice()
+    data object NoCapacity : RoutingDecision()
 
     /** No target in service can be reached. */
-    data object NoTarget : Choice()
+    data object NoTarget : RoutingDecision()
 }
 
 class RoutingController(
     private val self: String,
     private val domain: DomainId,
-    private val policy: ChoicePolicy,
+    private val policy: LoadBalancingPolicy,
     private val random: Random,
     private val subsetSize: Int = 16,
     private val remoteSubsetSize: Int = 2,
@@ -86,7 +86,7 @@
     }
 
     private val states = mutableMapOf<TargetId, TargetState>()
-    private val prefixes = PrefixMemory()
+    private val prefixes = PrefixAffinity()
     private val spillBudgets = mutableMapOf<DomainId, TokenBucket>()
     private var objects = ObjectSet.EMPTY
     private var subsets: Map<FleetId, List<OperatorObject.Target>> = emptyMap()
@@ -111,7 +111,7 @@
     /** The targets whose reports this process should receive. */
     fun subset(): List<OperatorObject.Target> = subsets.values.flatten().filter(objects::inService)
 
-    fun reported(
+    fun onTargetReport(
         report: TargetReport,
         now: Duration,
     ) {
@@ -123,43 +123,43 @@
     }
 
     /** An answer or a refusal of [target] told its room. */
-    fun roomSeen(
+    fun onLoadUpdate(
         target: TargetId,
-        room: Room,
+        load: TargetLoad,
         now: Duration,
     ) {
         val state = states[target] ?: return
         val report = state.report ?: return
-        state.report = report.copy(room = room)
+        state.report = report.copy(load = load)
         state.reportedAt = now
         state.sentSinceReport = 0
     }
 
     /** The connection that carries reports of [target] broke or went silent. */
-    fun unlinked(target: TargetId) {
+    fun onDisconnected(target: TargetId) {
         val state = states[target] ?: return
         state.linked = false
         state.report = null
     }
 
-    /** Chooses a target and counts the request as sent to it; [finished] must follow. */
-    fun choose(
-        need: Need,
+    /** Chooses a target and counts the request as sent to it; [onRequestFinished] must follow. */
+    fun selectTarget(
+        need: RoutingRequest,
         now: Duration,
-    ): Choice {
+    ): RoutingDecision {
         val candidates = candidates(need)
-        if (candidates.isEmpty()) return Choice.NoTarget
+        if (candidates.isEmpty()) return RoutingDecision.NoTarget
         val near = candidates.filter { it.domain == domain }
         val chosen = pick(near, need, now) ?: spill(candidates - near.toSet(), near, need, now) ?: return noneFree(candidates)
         val state = stateOf(chosen.id)
         state.ownInFlight++
         state.sentSinceReport++
         need.prefix?.let { prefixes.remember(it, chosen.id) }
-        return Choice.Chosen(chosen.id, chosen.domain)
+        return RoutingDecision.Selected(chosen.id, chosen.domain)
     }
 
-    /** The request that [choose] counted has ended at [target]; [failed] when the target, not the request, was at fault. */
-    fun finished(
+    /** The request that [selectTarget] counted has ended at [target]; [failed] when the target, not the request, was at fault. */
+    fun onRequestFinished(
         target: TargetId,
         failed: Boolean,
         now: Duration,
@@ -170,14 +170,14 @@
     }
 
     /** The target turned a request away without running it: its room is gone until it reports again. */
-    fun turnedAway(target: TargetId) {
+    fun onRejected(target: TargetId) {
         val state = stateOf(target)
         state.ownInFlight = (state.ownInFlight - 1).coerceAtLeast(0)
-        state.report = state.report?.let { it.copy(room = it.room.copy(inFlight = it.room.limit)) }
+        state.report = state.report?.let { it.copy(load = it.load.copy(inFlight = it.load.limit)) }
     }
 
     /** The engine of [target] dropped these prompt prefixes from its cache. */
-    fun forgetPrefixes(
+    fun onPrefixesEvicted(
         target: TargetId,
         dropped: Collection<Int>,
     ) = prefixes.forget(target, dropped)
@@ -210,7 +210,7 @@
         bucket.configure(rate, rate * SPILL_BURST_SECONDS)
     }
 
-    private fun candidates(need: Need): List<OperatorObject.Target> {
+    private fun candidates(need: RoutingRequest): List<OperatorObject.Target> {
         if (need.owner != null) return listOfNotNull(objects.targets[need.owner]).filter(objects::inService)
         val fleet = objects.fleets[need.fleet] ?: return emptyList()
         return subsets[need.fleet].orEmpty().filter { it.id !in need.excluded && objects.inService(it) && mayServe(it, fleet) }
@@ -226,22 +226,22 @@
 
     private fun pick(
         candidates: List<OperatorObject.Target>,
-        need: Need,
+        need: RoutingRequest,
         now: Duration,
     ): OperatorObject.Target? {
         val free = candidates.filter { hasRoom(it.id, need.tokens, now) }
         if (free.isEmpty()) return null
         return when (policy) {
-            ChoicePolicy.RoundRobin -> free[turn++ % free.size]
-            ChoicePolicy.LeastInFlight -> free.minBy { stateOf(it.id).ownInFlight }
-            is ChoicePolicy.FreshRoom -> pickFresh(policy, free, need, now)
+            LoadBalancingPolicy.RoundRobin -> free[turn++ % free.size]
+            LoadBalancingPolicy.LeastInFlight -> free.minBy { stateOf(it.id).ownInFlight }
+            is LoadBalancingPolicy.FreshRoom -> pickFresh(policy, free, need, now)
         }
     }
 
     private fun pickFresh(
-        policy: ChoicePolicy.FreshRoom,
+        policy: LoadBalancingPolicy.FreshRoom,
         free: List<OperatorObject.Target>,
-        need: Need,
+        need: RoutingRequest,
         now: Duration,
     ): OperatorObject.Target {
         val warm = need.prefix?.let { prefix -> free.firstOrNull { prefixes.isWarm(prefix, it.id) } }
@@ -252,11 +252,11 @@
     private fun spill(
         far: List<OperatorObject.Target>,
         near: List<OperatorObject.Target>,
-        need: Need,
+        need: RoutingRequest,
         now: Duration,
     ): OperatorObject.Target? {
-        val reported = far.filter { isFresh(stateOf(it.id), now) && spillRoom(it.id) }
-        val chosen = pick(reported, need, now) ?: return null
+        val onTargetReport = far.filter { isFresh(stateOf(it.id), now) && spillRoom(it.id) }
+        val chosen = pick(onTargetReport, need, now) ?: return null
         val budget = spillBudgets[chosen.domain] ?: return null
         val ownGone = near.isEmpty() || near.all { isAside(stateOf(it.id), now) }
         if (need.owner == null && !ownGone && !budget.take(need.bytes.toDouble(), now)) return null
@@ -267,7 +267,7 @@
     /** Neighbours keep half of their room for their own callers. */
     private fun spillRoom(target: TargetId): Boolean {
         val report = stateOf(target).report ?: return false
-        return report.room.inFlight + stateOf(target).sentSinceReport < (report.room.limit + 1) / 2
+        return report.load.inFlight + stateOf(target).sentSinceReport < (report.load.limit + 1) / 2
     }
 
     private fun hasRoom(
@@ -277,19 +277,19 @@
     ): Boolean {
         val state = stateOf(target)
         if (isAside(state, now)) return false
-        val ignoresRoom = policy !is ChoicePolicy.FreshRoom
+        val ignoresRoom = policy !is LoadBalancingPolicy.FreshRoom
         if (ignoresRoom) return true
         if (!isFresh(state, now) || state.failures >= FAILURES_ALLOWED) return state.ownInFlight == 0
         val report = state.report ?: return false
-        val entitled = state.ownInFlight < ownShare(target, report.room)
-        return (freeSlots(state) > 0 && report.room.freeTokens >= tokens) || entitled
+        val entitled = state.ownInFlight < ownShare(target, report.load)
+        return (freeSlots(state) > 0 && report.load.freeTokens >= tokens) || entitled
     }
 
     /** What this process may have at a near target whatever others have there; the target lets it wait for its turn. */
     private fun ownShare(
         target: TargetId,
-        room: Room,
-    ): Int = if (objects.targets[target]?.domain == domain) (room.limit / sharing).coerceAtLeast(minOf(1, room.limit)) else 0
+        load: TargetLoad,
+    ): Int = if (objects.targets[target]?.domain == domain) (load.limit / sharing).coerceAtLeast(minOf(1, load.limit)) else 0
 
     private fun freeShare(
         target: TargetId,
@@ -298,12 +298,12 @@
         val state = stateOf(target)
         val report = state.report
         if (report == null || !isFresh(state, now)) return 0.0
-        return freeSlots(state).toDouble() / report.room.limit.coerceAtLeast(1)
+        return freeSlots(state).toDouble() / report.load.limit.coerceAtLeast(1)
     }
 
     private fun freeSlots(state: TargetState): Int {
-        val room = state.report?.room ?: return 0
-        return room.limit - maxOf(room.inFlight + state.sentSinceReport, state.ownInFlight)
+        val load = state.report?.load ?: return 0
+        return load.limit - maxOf(load.inFlight + state.sentSinceReport, state.ownInFlight)
     }
 
     private fun isFresh(
@@ -327,9 +327,9 @@
         state.report = null
     }
 
-    private fun noneFree(candidates: List<OperatorObject.Target>): Choice {
+    private fun noneFree(candidates: List<OperatorObject.Target>): RoutingDecision {
         val reachable = candidates.any { stateOf(it.id).linked }
-        return if (reachable) Choice.NoRoom else Choice.NoTarget
+        return if (reachable) RoutingDecision.NoCapacity else RoutingDecision.NoTarget
     }
 
     private fun stateOf(target: TargetId): TargetState = states.getOrPut(target) { TargetState() }
@@ -339,9 +339,9 @@
         now: Duration,
     ): String {
         val report = state.report
-        val room = report?.room
+        val load = report?.load
         val age = if (report == null) "none" else (now - state.reportedAt).toString()
-        return "limit=${room?.limit} in-flight=${room?.inFlight} own=${state.ownInFlight} version=${report?.version?.text} " +
+        return "limit=${load?.limit} in-flight=${load?.inFlight} own=${state.ownInFlight} version=${report?.version?.text} " +
             "accepting=${report?.accepting} report-age=$age failures=${state.failures} aside=${isAside(state, now)}"
     }
 
--- a/control/src/main/kotlin/lagoonrudder/control/ServiceController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/ServingController.kt
@@ -10,49 +10,49 @@
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.Service
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.TargetId
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-sealed class ServiceState {
-    data object Serving : ServiceState()
+sealed class ServingState {
+    data object Serving : ServingState()
 
     /** New work is refused with [reason]; callers may try elsewhere after [retryAfter]. */
-    data class Closed(
+    data class Unavailable(
         val reason: String,
         val retryAfter: Duration,
-    ) : ServiceState()
+    ) : ServingState()
 }
 
-class ServiceController(
+class ServingController(
     private val domain: DomainId,
     private val target: TargetId?,
 ) {
     private var leaving = false
-    private var inHand = 0
+    private var active = 0
     private var lastTick: Duration? = null
 
     /** Completed when the process was told to stop and everything that was in hand has ended. */
     val drained = CompletableDeferred<Unit>()
 
     /** The process was told to stop: no new work from now on. */
-    fun leave() {
+    fun beginShutdown() {
         leaving = true
         completeWhenDrained()
     }
 
-    fun began() {
-        inHand++
+    fun onRequestStarted() {
+        active++
     }
 
-    fun ended() {
-        inHand--
+    fun onRequestEnded() {
+        active--
         completeWhenDrained()
     }
 
-    fun inHand(): Int = inHand
+    fun active(): Int = active
 
     /** Notes the regular tick of the control thread; returns whether the process was paused since the last one. */
     fun tick(now: Duration): Boolean {
@@ -71,17 +71,17 @@
     fun state(
         objects: ObjectSet,
         confirmed: Boolean,
-    ): ServiceState =
+    ): ServingState =
         when {
-            leaving -> ServiceState.Closed("leaving", RETRY_AT_ONCE)
-            !confirmed -> ServiceState.Closed("configuration is being confirmed", RETRY_SOON)
-            objects.domains[domain]?.service == Service.OUT -> ServiceState.Closed("failure domain out of service", RETRY_AT_ONCE)
-            target != null && objects.targets[target]?.service != Service.IN -> ServiceState.Closed("target out of service", RETRY_AT_ONCE)
-            else -> ServiceState.Serving
+            leaving -> ServingState.Unavailable("leaving", RETRY_AT_ONCE)
+            !confirmed -> ServingState.Unavailable("configuration is being confirmed", RETRY_SOON)
+            objects.domains[domain]?.service == AdminState.OUT -> ServingState.Unavailable("failure domain out of service", RETRY_AT_ONCE)
+            target != null && objects.targets[target]?.service != AdminState.IN -> ServingState.Unavailable("target out of service", RETRY_AT_ONCE)
+            else -> ServingState.Serving
         }
 
     private fun completeWhenDrained() {
-        if (leaving && inHand == 0) drained.complete(Unit)
+        if (leaving && active == 0) drained.complete(Unit)
     }
 
     fun dump(): DumpSection =
@@ -89,7 +89,7 @@
             entry("domain", domain.text)
             entry("target", target?.text)
             entry("leaving", leaving)
-            entry("in-hand", inHand)
+            entry("in-hand", active)
         }
 
     private companion object {
@@ -100,4 +100,4 @@
 }
 
 /** The refusal that goes with a closed state. */
-fun ServiceState.Closed.refusal(): Refusal = Refusal.NotServing(retryAfter, reason)
+fun ServingState.Unavailable.refusal(): Refusal = Refusal.NotServing(retryAfter, reason)
--- a/control/src/main/kotlin/lagoonrudder/control/TokenBucket.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/TokenBucket.kt
@@ -38,12 +38,12 @@
     }
 
     /** Gives back what was taken for something that did not happen. */
-    fun giveBack(amount: Double) {
+    fun refund(amount: Double) {
         level = min(burst, level + amount)
     }
 
     /** How long until [take] of [amount] can pass. */
-    fun wait(
+    fun waitTime(
         amount: Double,
         now: Duration,
     ): Duration {
--- a/control/src/main/kotlin/lagoonrudder/control/SwitchController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/VersionSwitchController.kt
@@ -34,15 +34,15 @@
 
 sealed class SwitchStep {
     /** Nothing to do until something changes. */
-    data object Rest : SwitchStep()
+    data object NoAction : SwitchStep()
 
     data object ReadEngine : SwitchStep()
 
     /** The version's chunks must be drawn and verified first. */
-    data object DrawWeights : SwitchStep()
+    data object FetchWeights : SwitchStep()
 
     /** Ask [targets] how far they are. */
-    data class AskOthers(
+    data class QueryTargets(
         val targets: List<TargetId>,
     ) : SwitchStep()
 
@@ -50,12 +50,12 @@
     data object Drain : SwitchStep()
 
     /** Give [order], then read the engine back. */
-    data class Give(
+    data class SendOrder(
         val order: EngineOrder,
     ) : SwitchStep()
 
     /** Orders of an earlier process may still arrive until [until]. */
-    data class WaitOut(
+    data class AwaitOrderTimeout(
         val until: Duration,
     ) : SwitchStep()
 }
@@ -69,7 +69,7 @@
     data object Ignores : FencingKnowledge()
 }
 
-class SwitchController(
+class VersionSwitchController(
     private val self: TargetId,
     private val startedAt: Duration,
 ) {
@@ -100,7 +100,7 @@
     }
 
     /** The engine was read. */
-    fun read(state: EngineState) {
+    fun onEngineState(state: EngineState) {
         val restarted = engine != null && engine?.incarnation != state.incarnation
         if (restarted) forgetAttempt()
         engine = state
@@ -110,26 +110,26 @@
     }
 
     /** The engine can't be relied on until it is read again. */
-    fun engineLost() {
+    fun onEngineLost() {
         readNeeded = true
     }
 
     /** The version that the engine serves as far as known, null while it serves none or is being switched. */
-    fun serving(): VersionId? = engine?.takeIf { !it.loading && !readNeeded }?.version
+    fun servingVersion(): VersionId? = engine?.takeIf { !it.loading && !readNeeded }?.version
 
     /** Whether new work may go to the engine: it serves a whole version that the fleet accepts. */
     fun refusal(): Refusal? {
         val fleet = fleet ?: return Refusal.NotServing(RETRY, "no fleet for this target")
         if (fleet.kind == FleetKind.PLAIN) return if (readNeeded) Refusal.NotServing(RETRY, "back end not reached") else null
         if (draining) return Refusal.NotServing(RETRY, "switching")
-        val version = serving() ?: return Refusal.NotServing(RETRY, "no version loaded")
+        val version = servingVersion() ?: return Refusal.NotServing(RETRY, "no version loaded")
         return if (fleet.accepts(version)) null else Refusal.WrongVersion(RETRY)
     }
 
     fun status(): SwitchStatus =
         when {
             failedDetail != null -> SwitchStatus.FAILED
-            wanted != null && serving() == wanted?.id && !draining -> SwitchStatus.SERVING
+            wanted != null && servingVersion() == wanted?.id && !draining -> SwitchStatus.SERVING
             draining -> SwitchStatus.SWITCHING
             else -> SwitchStatus.SERVING_OTHER
         }
@@ -137,7 +137,7 @@
     fun report(): SwitchReport = SwitchReport(self, wanted?.id, status())
 
     /** Another target answered, or could not be reached when [status] is null. */
-    fun heard(
+    fun onSwitchReport(
         target: TargetId,
         version: VersionId?,
         status: SwitchStatus?,
@@ -159,23 +159,23 @@
         now: Duration,
         date: Instant,
     ): SwitchStep {
-        val version = wanted ?: return SwitchStep.Rest
+        val version = wanted ?: return SwitchStep.NoAction
         if (readNeeded) return SwitchStep.ReadEngine
         val state = engine ?: return SwitchStep.ReadEngine
         if (knowledge == FencingKnowledge.Unknown) return probe(date)
-        if (state.version == version.id && !state.loading) return SwitchStep.Rest
-        if (failedDetail != null) return SwitchStep.Rest
-        if (!complete) return SwitchStep.DrawWeights
+        if (state.version == version.id && !state.loading) return SwitchStep.NoAction
+        if (failedDetail != null) return SwitchStep.NoAction
+        if (!complete) return SwitchStep.FetchWeights
         val empty = state.version == null
         if (!empty) othersToAsk(now)?.let { return it }
         draining = true
         if (inFlight > 0) return SwitchStep.Drain
         waitOut(now)?.let { return it }
-        return SwitchStep.Give(load(version, date))
+        return SwitchStep.SendOrder(load(version, date))
     }
 
     /** The order ended with [result]; the engine is read back in any case. */
-    fun ordered(
+    fun onOrderResult(
         order: EngineOrder,
         result: OrderResult,
     ) {
@@ -212,8 +212,8 @@
         val state = engine ?: return SwitchStep.ReadEngine
         if (state.fencing == null) return settle(FencingKnowledge.Ignores, date)
         if (state.fencing.number == 0L && raised) return settle(FencingKnowledge.Ignores, date)
-        if (state.fencing.number == 0L) return SwitchStep.Give(EngineOrder.ChangeRole(nextFencing(date), state.role))
-        return SwitchStep.Give(EngineOrder.ChangeRole(FencingNumber(state.fencing.number - 1), state.role))
+        if (state.fencing.number == 0L) return SwitchStep.SendOrder(EngineOrder.ChangeRole(nextFencing(date), state.role))
+        return SwitchStep.SendOrder(EngineOrder.ChangeRole(FencingNumber(state.fencing.number - 1), state.role))
     }
 
     private fun settle(
@@ -269,9 +269,9 @@
     }
 
     private fun waitOut(now: Duration): SwitchStep? {
-        val until = startedAt + ORDER_LIFE
+        val until = startedAt + ORDER_TIMEOUT
         val safe = knowledge is FencingKnowledge.Checks || now >= until
-        return if (safe) null else SwitchStep.WaitOut(until)
+        return if (safe) null else SwitchStep.AwaitOrderTimeout(until)
     }
 
     private fun placesOut(): Int {
@@ -288,7 +288,7 @@
 
     private fun othersToAsk(now: Duration): SwitchStep? {
         val open = predecessors().filter { asked[it] != SwitchStatus.SERVING && !isGone(it, now) }
-        return if (open.isEmpty()) null else SwitchStep.AskOthers(open)
+        return if (open.isEmpty()) null else SwitchStep.QueryTargets(open)
     }
 
     private fun isGone(
@@ -298,7 +298,7 @@
 
     companion object {
         /** How long an order may take to reach the engine and take effect. */
-        val ORDER_LIFE = 10.seconds
+        val ORDER_TIMEOUT = 10.seconds
         private val GONE_AFTER = 20.seconds
         private val RETRY = 300.milliseconds
         private const val ATTEMPTS = 3
--- a/control/src/main/kotlin/lagoonrudder/control/WeightController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/WeightFetchController.kt
@@ -21,45 +21,45 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * [parallel] bounds the draws at once of chunks that this holder leads, [following] those of the others, [memory] the
+ * [maxPrimaryFetches] bounds the draws at once of chunks that this holder leads, [maxSecondaryFetches] those of the others, [memoryBytes] the
  * bytes of chunks held for peers and the engine.
  */
-data class WeightBounds(
-    val parallel: Int = 12,
-    val following: Int = 12,
-    val memory: Long = 512_000_000,
-    val drawLimit: Duration = 10.seconds,
+data class WeightFetchLimits(
+    val maxPrimaryFetches: Int = 12,
+    val maxSecondaryFetches: Int = 12,
+    val memoryBytes: Long = 512_000_000,
+    val fetchTimeout: Duration = 10.seconds,
 )
 
-sealed class DrawDecision {
-    data class Draw(
+sealed class FetchDecision {
+    data class Fetch(
         val version: VersionId,
         val chunk: ChunkIndex,
         val source: ChunkSource,
-    ) : DrawDecision()
+    ) : FetchDecision()
 
     /** Nothing can be drawn before [until]. */
     data class Wait(
         val until: Duration,
-    ) : DrawDecision()
+    ) : FetchDecision()
 
     /** As many draws as allowed are under way. */
-    data object Busy : DrawDecision()
+    data object Busy : FetchDecision()
 
-    data object Complete : DrawDecision()
+    data object Complete : FetchDecision()
 }
 
 /** How a draw ended. */
-sealed class DrawResult {
-    data class Arrived(
+sealed class FetchResult {
+    data class Received(
         val digest: Digest,
         val bytes: ByteArray,
-    ) : DrawResult()
+    ) : FetchResult()
 
     /** The source will have the chunk but does not yet. */
-    data object NotYet : DrawResult()
+    data object NotYet : FetchResult()
 
-    data object Failed : DrawResult()
+    data object Failed : FetchResult()
 }
 
 sealed class ChunkDecision {
@@ -81,10 +81,10 @@
     val complete: Boolean get() = verified == chunks
 }
 
-class WeightController(
-    private var self: Holder,
+class WeightFetchController(
+    private var self: WeightHolder,
     private val policy: SourcePolicy,
-    private val bounds: WeightBounds,
+    private val bounds: WeightFetchLimits,
     private val invariants: Invariants,
 ) {
     private class Pending(
@@ -96,16 +96,16 @@
     private class Draft(
         val version: OperatorObject.Version,
         val digests: List<Digest>,
-        var plan: WeightPlan,
+        var plan: ChunkSourcePlan,
     ) {
         /** Chunks that others wait for, and the rest. */
         val led = ArrayDeque<Pending>()
         val followed = ArrayDeque<Pending>()
         val drawing = mutableMapOf<ChunkIndex, Pending>()
 
-        fun queueOf(pending: Pending): ArrayDeque<Pending> = if (plan.leads(pending.chunk)) led else followed
+        fun queueOf(pending: Pending): ArrayDeque<Pending> = if (plan.isPrimarySource(pending.chunk)) led else followed
 
-        fun drawingLed(): Int = drawing.keys.count(plan::leads)
+        fun drawingLed(): Int = drawing.keys.count(plan::isPrimarySource)
 
         val verified = mutableSetOf<ChunkIndex>()
         val held = mutableMapOf<ChunkIndex, ByteArray>()
@@ -134,26 +134,26 @@
     }
 
     /** Starts to draw [version] for [holders]; another version that was being drawn is dropped. */
-    fun want(
+    fun startFetch(
         version: OperatorObject.Version,
         digests: List<Digest>,
-        holders: Collection<Holder>,
+        holders: Collection<WeightHolder>,
     ) {
         val known = draft
-        if (known != null && known.version == version) return replan(known, holders)
+        if (known != null && known.version == version) return updateHolders(known, holders)
         drop()
         val plan = planFor(version, holders)
         val started = Draft(version, digests, plan)
         val chunks = orderOf(version)
-        chunks.filterNot(plan::leads).forEach { started.followed.addLast(Pending(it)) }
-        chunks.filter(plan::leads).sortedBy { it.number }.forEach { started.led.addLast(Pending(it)) }
+        chunks.filterNot(plan::isPrimarySource).forEach { started.followed.addLast(Pending(it)) }
+        chunks.filter(plan::isPrimarySource).sortedBy { it.number }.forEach { started.led.addLast(Pending(it)) }
         draft = started
         configureLinks(plan)
     }
 
     /** The daemons that want the version may have changed. */
-    fun replan(holders: Collection<Holder>) {
-        draft?.let { replan(it, holders) }
+    fun updateHolders(holders: Collection<WeightHolder>) {
+        draft?.let { updateHolders(it, holders) }
     }
 
     /** Forgets the version and gives back its memory. */
@@ -164,32 +164,32 @@
 
     fun progress(): WeightProgress? = draft?.let { WeightProgress(it.version.id, it.verified.size, it.digests.size) }
 
-    /** Decides on the next draw; a draw that is given out must be answered by [ended]. */
-    fun next(now: Duration): DrawDecision {
-        val current = draft ?: return DrawDecision.Complete
-        if (current.verified.size == current.digests.size) return DrawDecision.Complete
+    /** Decides on the next draw; a draw that is given out must be answered by [onFetchEnded]. */
+    fun next(now: Duration): FetchDecision {
+        val current = draft ?: return FetchDecision.Complete
+        if (current.verified.size == current.digests.size) return FetchDecision.Complete
         val led = current.drawingLed()
-        val first = firstReady(current, current.led, led < bounds.parallel, now)
-        if (first is DrawDecision.Draw) return first
-        val second = firstReady(current, current.followed, current.drawing.size - led < bounds.following, now)
+        val first = firstReady(current, current.led, led < bounds.maxPrimaryFetches, now)
+        if (first is FetchDecision.Fetch) return first
+        val second = firstReady(current, current.followed, current.drawing.size - led < bounds.maxSecondaryFetches, now)
         return earlierOf(first, second)
     }
 
     /** Takes in how the draw of [chunk] ended. */
-    fun ended(
+    fun onFetchEnded(
         version: VersionId,
         chunk: ChunkIndex,
         source: ChunkSource,
-        result: DrawResult,
+        result: FetchResult,
         now: Duration,
     ): ChunkDecision {
         val current = draft?.takeIf { it.version.id == version } ?: return ChunkDecision.Discard
         val pending = current.drawing.remove(chunk) ?: return ChunkDecision.Discard
-        if (result !is DrawResult.Arrived) bucketOf(source)?.giveBack(current.version.chunkBytes.toDouble())
+        if (result !is FetchResult.Received) bucketOf(source)?.refund(current.version.chunkBytes.toDouble())
         return when (result) {
-            DrawResult.NotYet -> again(current, pending, source, now)
-            DrawResult.Failed -> setAside(current, pending, source, FAILED_ASIDE, now)
-            is DrawResult.Arrived -> verify(current, pending, source, result, now)
+            FetchResult.NotYet -> again(current, pending, source, now)
+            FetchResult.Failed -> setAside(current, pending, source, FAILED_ASIDE, now)
+            is FetchResult.Received -> verify(current, pending, source, result, now)
         }
     }
 
@@ -200,18 +200,18 @@
     ): ByteArray? = draft?.takeIf { it.version.id == version }?.held?.get(chunk)
 
     /** Whether this process draws [version], so that a peer may wait for a chunk of it. */
-    fun draws(version: VersionId): Boolean = draft?.version?.id == version
+    fun isFetching(version: VersionId): Boolean = draft?.version?.id == version
 
     /** The engine has the whole version: only what this holder leads stays in memory, for latecomers. */
-    fun release() {
+    fun onVersionLoaded() {
         val current = draft ?: return
         current.held.keys
-            .filterNot(current.plan::leads)
+            .filterNot(current.plan::isPrimarySource)
             .forEach { forget(current, it) }
     }
 
     /** The engine lost what it had been given: everything that isn't held is drawn again. */
-    fun restart() {
+    fun onEngineReset() {
         val current = draft ?: return
         val lost = current.verified.filter { it !in current.held }
         current.verified.removeAll(lost.toSet())
@@ -237,12 +237,12 @@
 
     private fun planFor(
         version: OperatorObject.Version,
-        holders: Collection<Holder>,
-    ) = WeightPlan(policy, version.id, self, holders, originRegion, version.chunkCount)
+        holders: Collection<WeightHolder>,
+    ) = ChunkSourcePlan(policy, version.id, self, holders, originRegion, version.chunkCount)
 
-    private fun replan(
+    private fun updateHolders(
         current: Draft,
-        holders: Collection<Holder>,
+        holders: Collection<WeightHolder>,
     ) {
         current.plan = planFor(current.version, holders)
         val open = current.led + current.followed
@@ -262,26 +262,26 @@
             .sortedBy { rendezvousScore(self.daemon.text, it.number.toString()) }
 
     /** Shares each link among the region's holders by the chunks that they draw over it; a stand-in gets a little. */
-    private fun configureLinks(plan: WeightPlan) {
-        val draws = plan.drawsAcross()
+    private fun configureLinks(plan: ChunkSourcePlan) {
+        val isFetching = plan.crossRegionFetches()
         for (region in objects.regions.keys) {
             if (region == self.region) continue
             val bytes = objects.link(self.region, region)?.bytesPerSecond ?: continue
-            val share = (draws[region] ?: 0) / plan.chunksOnLink
+            val share = (isFetching[region] ?: 0) / plan.chunksPerLink
             val rate = bytes * WEIGHT_SHARE * maxOf(share, 1.0 / plan.holdersInRegion / STAND_IN_PART)
             val burst = rate * LINK_BURST_SECONDS
             links.getOrPut(region) { TokenBucket(rate, burst) }.configure(rate, burst)
         }
     }
 
-    /** The first draw in [queue] that may go now; [DrawDecision.Busy] when the queue is empty or has no free slot. */
+    /** The first draw in [queue] that may go now; [FetchDecision.Busy] when the queue is empty or has no free slot. */
     private fun firstReady(
         current: Draft,
         queue: ArrayDeque<Pending>,
         free: Boolean,
         now: Duration,
-    ): DrawDecision {
-        if (!free || queue.isEmpty()) return DrawDecision.Busy
+    ): FetchDecision {
+        if (!free || queue.isEmpty()) return FetchDecision.Busy
         var earliest = Duration.INFINITE
         repeat(minOf(queue.size, LOOKS)) {
             val pending = queue.removeFirst()
@@ -291,16 +291,16 @@
             earliest = minOf(earliest, ready)
             queue.addLast(pending)
         }
-        return DrawDecision.Wait(earliest)
+        return FetchDecision.Wait(earliest)
     }
 
     private fun earlierOf(
-        first: DrawDecision,
-        second: DrawDecision,
-    ): DrawDecision =
+        first: FetchDecision,
+        second: FetchDecision,
+    ): FetchDecision =
         when {
-            first is DrawDecision.Wait && second is DrawDecision.Wait -> DrawDecision.Wait(minOf(first.until, second.until))
-            second is DrawDecision.Busy -> first
+            first is FetchDecision.Wait && second is FetchDecision.Wait -> FetchDecision.Wait(minOf(first.until, second.until))
+            second is FetchDecision.Busy -> first
             else -> second
         }
 
@@ -309,10 +309,10 @@
         pending: Pending,
         source: ChunkSource,
         now: Duration,
-    ): DrawDecision {
+    ): FetchDecision {
         bucketOf(source)?.take(current.version.chunkBytes.toDouble(), now)
         current.drawing[pending.chunk] = pending
-        return DrawDecision.Draw(current.version.id, pending.chunk, source)
+        return FetchDecision.Fetch(current.version.id, pending.chunk, source)
     }
 
     private fun sourceFor(
@@ -371,7 +371,7 @@
         current: Draft,
         pending: Pending,
         source: ChunkSource,
-        result: DrawResult.Arrived,
+        result: FetchResult.Received,
         now: Duration,
     ): ChunkDecision {
         if (result.digest != current.digests[pending.chunk.number]) {
@@ -401,14 +401,14 @@
         chunk: ChunkIndex,
         bytes: ByteArray,
     ) {
-        while (heldBytes + bytes.size > bounds.memory) {
-            val spare = current.held.keys.firstOrNull { !current.plan.leads(it) } ?: break
+        while (heldBytes + bytes.size > bounds.memoryBytes) {
+            val spare = current.held.keys.firstOrNull { !current.plan.isPrimarySource(it) } ?: break
             forget(current, spare)
         }
-        if (heldBytes + bytes.size > bounds.memory) return
+        if (heldBytes + bytes.size > bounds.memoryBytes) return
         current.held[chunk] = bytes
         heldBytes += bytes.size
-        invariants.check(heldBytes <= bounds.memory, Invariant.WEIGHT_MEMORY_WITHIN_BUDGET, Step.DRAW_CHUNK) { "held=$heldBytes" }
+        invariants.check(heldBytes <= bounds.memoryBytes, Invariant.WEIGHT_MEMORY_WITHIN_BUDGET, Step.DRAW_CHUNK) { "held=$heldBytes" }
     }
 
     private fun forget(
--- a/control/src/main/kotlin/lagoonrudder/control/direct/SlotController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/BackEndStateController.kt
@@ -23,20 +23,20 @@
     val closed: Boolean,
 )
 
-class SlotController {
+class BackEndStateController {
     private class Heard(
         val word: SlotWord,
         val at: Duration,
     )
 
-    private val heard = mutableMapOf<Address, Heard>()
+    private val onGossipReceived = mutableMapOf<Address, Heard>()
 
     /** Takes a word; returns whether it says something new. */
-    fun heard(
+    fun onGossipReceived(
         word: SlotWord,
         now: Duration,
     ): Boolean {
-        val before = heard.put(word.backEnd, Heard(word, now))
+        val before = onGossipReceived.put(word.backEnd, Heard(word, now))
         return before?.word != word
     }
 
@@ -59,7 +59,7 @@
     }
 
     fun dump(now: Duration): DumpSection =
-        dumpSection("slots") { for (each in heard.values) entry(each.word.backEnd.toString(), "${each.word} age=${now - each.at}") }
+        dumpSection("slots") { for (each in onGossipReceived.values) entry(each.word.backEnd.toString(), "${each.word} age=${now - each.at}") }
 
     private fun wordOf(
         backEnd: BackEnd,
@@ -69,7 +69,7 @@
     private fun freshWord(
         backEnd: BackEnd,
         now: Duration,
-    ): SlotWord? = heard[backEnd.address]?.takeIf { now - it.at < WORD_LIFE }?.word
+    ): SlotWord? = onGossipReceived[backEnd.address]?.takeIf { now - it.at < WORD_LIFE }?.word
 
     private companion object {
         /** By then the registration has caught up: two beats and the store's lag. */
--- a/control/src/main/kotlin/lagoonrudder/control/direct/BackEndUse.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/BackEndStats.kt
@@ -10,9 +10,9 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** How an attempt at a back end ended. */
-enum class AttemptEnd { ANSWERED, NOT_RUN, FAILED, SILENT, UNREACHABLE, ABANDONED }
+enum class AttemptOutcome { ANSWERED, NOT_RUN, FAILED, TIMED_OUT, UNREACHABLE, ABANDONED }
 
-internal class BackEndUse {
+internal class BackEndStats {
     private class Sent(
         val at: Duration,
         val promptTokens: Int,
@@ -28,17 +28,17 @@
         private set
 
     /** Until when this back end gets nothing while another one can take it. */
-    var asideUntil = Duration.ZERO
+    var ejectedUntil = Duration.ZERO
         private set
 
     /** How many requests were sent in the window before [now] for which a cold back end's rate counts. */
-    fun sentLately(now: Duration): Int {
+    fun recentRequests(now: Duration): Int {
         while (sent.isNotEmpty() && now - sent.first().at > COLD_WINDOW) sent.removeFirst()
         return sent.size
     }
 
     /** The prompt tokens that this process sent so recently that the back end may still be reading them. */
-    fun tokensInReading(now: Duration): Int {
+    fun prefillTokens(now: Duration): Int {
         var tokens = 0
         for (index in sent.indices.reversed()) {
             if (now - sent[index].at > READING_TIME) break
@@ -51,22 +51,22 @@
         promptTokens: Int,
         now: Duration,
     ) {
-        sentLately(now)
+        recentRequests(now)
         sent.addLast(Sent(now, promptTokens))
         inFlight++
     }
 
     fun ended(
-        end: AttemptEnd,
+        end: AttemptOutcome,
         now: Duration,
     ) {
         inFlight--
         when (end) {
-            AttemptEnd.ANSWERED -> answered()
-            AttemptEnd.NOT_RUN -> turnedAway(now)
-            AttemptEnd.FAILED -> failed(atOnce = false, now)
-            AttemptEnd.SILENT, AttemptEnd.UNREACHABLE -> failed(atOnce = true, now)
-            AttemptEnd.ABANDONED -> Unit
+            AttemptOutcome.ANSWERED -> answered()
+            AttemptOutcome.NOT_RUN -> turnedAway(now)
+            AttemptOutcome.FAILED -> failed(atOnce = false, now)
+            AttemptOutcome.TIMED_OUT, AttemptOutcome.UNREACHABLE -> failed(atOnce = true, now)
+            AttemptOutcome.ABANDONED -> Unit
         }
     }
 
@@ -79,7 +79,7 @@
     private fun turnedAway(now: Duration) {
         val doublings = refusals.coerceAtMost(MOST_DOUBLINGS)
         refusals++
-        asideUntil = maxOf(asideUntil, now + AFTER_NOT_RUN * (1 shl doublings))
+        ejectedUntil = maxOf(ejectedUntil, now + AFTER_NOT_RUN * (1 shl doublings))
     }
 
     private fun failed(
@@ -89,7 +89,7 @@
         failures++
         if (failures < FAILURES_BEFORE_ASIDE && !atOnce) return
         val doublings = (failures - 1).coerceIn(0, MOST_DOUBLINGS)
-        asideUntil = now + FIRST_ASIDE * (1 shl doublings)
+        ejectedUntil = now + FIRST_ASIDE * (1 shl doublings)
     }
 
     private companion object {
--- a/control/src/main/kotlin/lagoonrudder/control/direct/PeerController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/PeerController.kt
@@ -29,7 +29,7 @@
 )
 
 /** A daemon that another one knows; [age] is how long ago it was last heard from. */
-data class PeerSighting(
+data class LivePeer(
     val peer: PeerDaemon,
     val age: Duration,
 )
@@ -52,7 +52,7 @@
     var seeds: List<Address> = seeds
 
     /** [peer] called or answered; [inFlight] is what it has at each back end. */
-    fun heard(
+    fun onGossipReceived(
         peer: PeerDaemon,
         inFlight: Map<TargetId, Int>,
         now: Duration,
@@ -66,11 +66,11 @@
     }
 
     /** Another daemon passed on whom it knows. */
-    fun sighted(
-        sightings: List<PeerSighting>,
+    fun mergeLivePeers(
+        livePeers: List<LivePeer>,
         now: Duration,
     ) {
-        for (sighting in sightings) {
+        for (sighting in livePeers) {
             if (sighting.peer.daemon == self.daemon || sighting.age > FORGET_AFTER) continue
             val entry = known.getOrPut(sighting.peer.daemon) { Known(sighting.peer, now - sighting.age) }
             entry.heardAt = maxOf(entry.heardAt, now - sighting.age)
@@ -78,10 +78,10 @@
     }
 
     /** The live entry daemons that this one has heard of. */
-    fun sightings(now: Duration): List<PeerSighting> = aliveEntries(now).map { PeerSighting(it.peer, now - it.heardAt) }
+    fun livePeers(now: Duration): List<LivePeer> = aliveEntries(now).map { LivePeer(it.peer, now - it.heardAt) }
 
     /** The entry daemons to exchange with, and the seeds that are none of them. */
-    fun partners(now: Duration): List<Address> {
+    fun gossipAddresses(now: Duration): List<Address> {
         forget(now)
         return (knownEntries().mapNotNull { it.peer.address } + seeds).distinct() - listOfNotNull(self.address).toSet()
     }
--- a/control/src/main/kotlin/lagoonrudder/control/direct/PlacementController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/PlacementController.kt
@@ -26,7 +26,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /** Where the daemons and back ends are. */
-data class Places(
+data class Topology(
     val domain: DomainId,
     val regions: Map<DomainId, RegionId>,
 )
@@ -39,16 +39,16 @@
 )
 
 /**
- * What a request needs of a back end. [passedOver] are back ends that it must not go to again, [number] the version that began
+ * What a request needs of a back end. [excluded] are back ends that it must not go to again, [number] the version that began
  * its answer, where it has begun, [promptTokens] the length of its prompt as far as its caller says, [isLate] whether its
  * objective had passed before it came.
  */
-data class PlacementNeed(
+data class PlacementRequest(
     val service: ServiceId,
     val customer: CustomerId?,
     val priority: Int,
-    val homes: List<Set<RegionId>>,
-    val passedOver: Set<TargetId>,
+    val homeRegions: List<Set<RegionId>>,
+    val excluded: Set<TargetId>,
     val number: WeightNumber?,
     val promptTokens: Int,
     val isLate: Boolean,
@@ -68,39 +68,39 @@
 }
 
 class PlacementController(
-    private val places: Places,
+    private val places: Topology,
     private val bounds: PlacementBounds,
-    private val publication: PublicationController,
+    private val storeView: StoreViewController,
     private val peers: PeerController,
-    private val slots: SlotController,
+    private val slots: BackEndStateController,
     private val random: Random,
 ) {
     private class Waiting(
-        val need: PlacementNeed,
+        val need: PlacementRequest,
         val since: Duration,
         val until: Duration,
     ) {
         val decided = CompletableDeferred<Placement>()
     }
 
-    private val uses = mutableMapOf<TargetId, BackEndUse>()
+    private val uses = mutableMapOf<TargetId, BackEndStats>()
     private val line = mutableListOf<Waiting>()
     private val inFlightOf = mutableMapOf<CustomerId, Int>()
 
-    /** Places a request now, or puts it in line for at most [patience]; the result is complete in either case or becomes so. */
+    /** Places a request now, or puts it in line for at most [maxWait]; the result is complete in either case or becomes so. */
     fun place(
-        need: PlacementNeed,
-        patience: Duration,
+        need: PlacementRequest,
+        maxWait: Duration,
         now: Duration,
     ): CompletableDeferred<Placement> {
         val placement = attempt(need, now)
         val waits = mayWait(placement) && line.size < LONGEST_LINE
-        if (!waits || patience <= Duration.ZERO) return CompletableDeferred(placement)
-        return Waiting(need, now, now + patience).also { line += it }.decided
+        if (!waits || maxWait <= Duration.ZERO) return CompletableDeferred(placement)
+        return Waiting(need, now, now + maxWait).also { line += it }.decided
     }
 
     /** The patience of a request in line is over: it gets a place now or none. */
-    fun decideNow(
+    fun onWaitTimeout(
         decision: CompletableDeferred<Placement>,
         now: Duration,
     ) {
@@ -110,7 +110,7 @@
     }
 
     /** The caller of a request in line is gone. */
-    fun withdraw(decision: CompletableDeferred<Placement>) {
+    fun cancelWaiting(decision: CompletableDeferred<Placement>) {
         line.removeAll { it.decided === decision }
     }
 
@@ -118,16 +118,16 @@
     fun ended(
         target: TargetId,
         customer: CustomerId?,
-        end: AttemptEnd,
+        end: AttemptOutcome,
         now: Duration,
     ) {
         useOf(target).ended(end, now)
         if (customer != null) inFlightOf.merge(customer, -1, Int::plus)
-        serveLine(now)
+        dispatchQueued(now)
     }
 
     /** Serves and ends what is in line; called when something changed and now and then. */
-    fun serveLine(now: Duration) {
+    fun dispatchQueued(now: Duration) {
         if (line.isEmpty()) return
         // A place serves somebody in time only if it goes to a request that can still be in time.
         line.sortWith(compareBy({ it.need.priority }, { it.need.isLate }, { inFlightOf[it.need.customer] ?: 0 }, { it.since }))
@@ -143,7 +143,7 @@
 
     /** Forgets back ends that are gone. */
     fun published() {
-        uses.keys.removeIf { publication.backEnd(it) == null && (uses[it]?.inFlight ?: 0) == 0 }
+        uses.keys.removeIf { storeView.backEnd(it) == null && (uses[it]?.inFlight ?: 0) == 0 }
     }
 
     /** What this process has in flight at each back end. */
@@ -156,7 +156,7 @@
             entry("waiting", line.size)
             for ((id, use) in uses) {
                 val elsewhere = peers.inFlightElsewhere(id, now)
-                val aside = use.asideUntil - now
+                val aside = use.ejectedUntil - now
                 entry(id.text, "in-flight=${use.inFlight} elsewhere=$elsewhere failures=${use.failures} aside=$aside")
             }
         }
@@ -165,12 +165,12 @@
     private fun mayWait(placement: Placement) = placement is Placement.Refused && placement.refusal is Refusal.Overloaded
 
     private fun attempt(
-        need: PlacementNeed,
+        need: PlacementRequest,
         now: Duration,
     ): Placement {
-        val usable = publication.backEnds.filter { it.service == need.service && isUsable(it, need, now) }
+        val usable = storeView.backEnds.filter { it.service == need.service && isUsable(it, need, now) }
         if (usable.isEmpty()) return Placement.Refused(Refusal.NoTarget(NO_TARGET_RETRY), reasonOf(need, now))
-        val rested = usable.filter { useOf(it.id).asideUntil <= now }.ifEmpty { listOf(usable.minBy { useOf(it.id).asideUntil }) }
+        val rested = usable.filter { useOf(it.id).ejectedUntil <= now }.ifEmpty { listOf(usable.minBy { useOf(it.id).ejectedUntil }) }
         val free = rested.filter { load(it, now) < mostInFlight(it, need, now) && bearsOneMore(it, now) }
         if (free.isEmpty()) return Placement.Refused(Refusal.Overloaded(FULL_RETRY), "full back-ends=${rested.size}")
         val chosen = free.minBy { score(it, now) }
@@ -181,22 +181,22 @@
 
     private fun isUsable(
         backEnd: BackEnd,
-        need: PlacementNeed,
+        need: PlacementRequest,
         now: Duration,
     ): Boolean {
         val region = places.regions[backEnd.domain]
-        val inHomes = need.homes.all { it.isEmpty() || region in it }
+        val inHomes = need.homeRegions.all { it.isEmpty() || region in it }
         val isOpen =
-            !backEnd.leaving && backEnd.domain !in publication.evacuated && !slots.closed(backEnd, now) && backEnd.id !in need.passedOver
+            !backEnd.leaving && backEnd.domain !in storeView.evacuated && !slots.closed(backEnd, now) && backEnd.id !in need.excluded
         return isOpen && inHomes && holdsWeights(backEnd, need, now)
     }
 
     private fun holdsWeights(
         backEnd: BackEnd,
-        need: PlacementNeed,
+        need: PlacementRequest,
         now: Duration,
     ): Boolean {
-        val layout = publication.serving?.service(backEnd.service)?.weights ?: return true
+        val layout = storeView.serving?.service(backEnd.service)?.weights ?: return true
         val held = slots.held(backEnd, now) ?: return false
         if (held.layers < layout.layers) return false
         val begun = need.number
@@ -208,21 +208,21 @@
     /** The version that a request must begin on: the declared one once its time to spread is nearly over. */
     private fun requiredNumber(
         held: HeldWeights?,
-        need: PlacementNeed,
+        need: PlacementRequest,
         now: Duration,
     ): WeightNumber? {
-        val declared = held?.let { publication.declaredBy(it.model, now - bounds.versionLimit + SWITCH_MARGIN) }
+        val declared = held?.let { storeView.declaredAsOf(it.model, now - bounds.versionLimit + SWITCH_MARGIN) }
         return declared?.number ?: need.number
     }
 
     private fun reasonOf(
-        need: PlacementNeed,
+        need: PlacementRequest,
         now: Duration,
     ): String {
-        val all = publication.backEnds.filter { it.service == need.service }
+        val all = storeView.backEnds.filter { it.service == need.service }
         val without = all.count { !holdsWeights(it, need, now) }
         val leaving = all.count { it.leaving }
-        return "no back end listed=${all.size} leaving=$leaving without-weights=$without passed-over=${need.passedOver.size}"
+        return "no back end listed=${all.size} leaving=$leaving without-weights=$without passed-over=${need.excluded.size}"
     }
 
     private fun load(
@@ -236,10 +236,10 @@
      */
     private fun mostInFlight(
         backEnd: BackEnd,
-        need: PlacementNeed,
+        need: PlacementRequest,
         now: Duration,
     ): Int {
-        val isEngine = publication.serving?.service(backEnd.service)?.weights != null
+        val isEngine = storeView.serving?.service(backEnd.service)?.weights != null
         return when {
             !isEngine -> backEnd.slots + QUEUED_CALLS
             isDueSoon(backEnd, now) -> (backEnd.slots - SPARED_WHEN_DUE).coerceAtLeast(1)
@@ -254,7 +254,7 @@
         now: Duration,
     ): Boolean {
         val held = slots.held(backEnd, now) ?: return false
-        val due = publication.declaredBy(held.model, now - bounds.versionLimit + SWITCH_MARGIN + DUE_SOON) ?: return false
+        val due = storeView.declaredAsOf(held.model, now - bounds.versionLimit + SWITCH_MARGIN + DUE_SOON) ?: return false
         return held.number < due.number
     }
 
@@ -262,9 +262,9 @@
         backEnd: BackEnd,
         now: Duration,
     ): Boolean {
-        val rate = publication.serving?.service(backEnd.service)?.coldRequestsPerSecond ?: return true
+        val rate = storeView.serving?.service(backEnd.service)?.coldRequestsPerSecond ?: return true
         val most = (rate * bounds.coldRatio + bounds.coldAllowance) * COLD_SAFE_PART / peers.entryCount(now)
-        return useOf(backEnd.id).sentLately(now) + 1 <= most.coerceAtLeast(1.0)
+        return useOf(backEnd.id).recentRequests(now) + 1 <= most.coerceAtLeast(1.0)
     }
 
     private fun score(
@@ -273,11 +273,11 @@
     ): Double {
         val places = backEnd.slots.coerceAtLeast(1)
         val distance = if (backEnd.domain == this.places.domain) 0.0 else DISTANCE_PENALTY
-        val reading = useOf(backEnd.id).tokensInReading(now) * PENALTY_OF_READ_TOKEN
+        val reading = useOf(backEnd.id).prefillTokens(now) * PENALTY_OF_READ_TOKEN
         return (load(backEnd, now) + random.nextDouble() + distance + reading) / places
     }
 
-    private fun useOf(target: TargetId) = uses.getOrPut(target) { BackEndUse() }
+    private fun useOf(target: TargetId) = uses.getOrPut(target) { BackEndStats() }
 
     private companion object {
         /** What may wait in a back end's own queue without making answers late. */
--- a/control/src/main/kotlin/lagoonrudder/control/direct/RepeatShare.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/RetryBudgetShare.kt
@@ -10,14 +10,14 @@
 import kotlin.time.Duration
 
 /** The bounds of repeats over all entry daemons: [ratio] of the requests in [window], and [allowance] besides. */
-data class RepeatBounds(
+data class RetryBudgetBounds(
     val ratio: Double,
     val window: Duration,
     val allowance: Double,
 )
 
-class RepeatShare(
-    private val bounds: RepeatBounds,
+class RetryBudgetShare(
+    private val bounds: RetryBudgetBounds,
 ) {
     private class Window {
         val requests = ArrayDeque<Duration>()
@@ -26,7 +26,7 @@
 
     private val windows = mutableMapOf<ServiceId, Window>()
 
-    fun requested(
+    fun recordRequest(
         service: ServiceId,
         now: Duration,
     ) {
--- a/control/src/main/kotlin/lagoonrudder/control/direct/StagingController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/StagingController.kt
@@ -35,65 +35,65 @@
     val digests: List<Digest>,
 )
 
-sealed class OrderAnswer {
-    data object Begun : OrderAnswer()
+sealed class OrderResponse {
+    data object Accepted : OrderResponse()
 
     /** The order was carried out before. */
-    data object InEffect : OrderAnswer()
+    data object AlreadyApplied : OrderResponse()
 
     data class Declined(
         val status: Int,
         val detail: String,
-    ) : OrderAnswer()
+    ) : OrderResponse()
 }
 
 /** The weights to load; a [number] of null is the newest that the origin names. */
-data class WantedWeights(
+data class WeightsToLoad(
     val model: ModelId,
     val number: WeightNumber?,
 )
 
 /** Where a piece or a manifest can be drawn. */
-sealed class PieceSource {
+sealed class WeightSource {
     data class Entry(
         val address: Address,
-    ) : PieceSource()
+    ) : WeightSource()
 
     data class Origin(
         val address: Address,
-    ) : PieceSource()
+    ) : WeightSource()
 }
 
 class StagingController(
     private val peers: PeerController,
-    private val publication: PublicationController,
-    private val turns: SwitchTurns,
+    private val storeView: StoreViewController,
+    private val turns: SwitchSchedule,
     private val regions: Map<DomainId, RegionId>,
 ) {
     /** What the back end of [service] with [report] lacks; null when it has what it should. */
-    fun wanted(
+    fun weightsToLoad(
         service: ServiceId,
         report: BackEndReport,
-    ): WantedWeights? {
-        val layout = publication.serving?.service(service)?.weights ?: return null
+    ): WeightsToLoad? {
+        val layout = storeView.serving?.service(service)?.weights ?: return null
         val model = layout.models.firstOrNull() ?: return null
-        val declared = publication.declared(model)
+        val declared = storeView.declared(model)
         val held = report.held?.takeIf { it.model == model && it.layers >= layout.layers }
         val satisfied = held != null && (declared == null || held.number >= declared.number)
-        return if (satisfied) null else WantedWeights(model, declared?.number)
+        return if (satisfied) null else WeightsToLoad(model, declared?.number)
     }
 
     /**
      * Whether to go on staging [number], of which [staged] pieces out of [all] are there, although a newer version was
      * declared: one that is half done is finished, in case the newer one can't be drawn before the older one is due.
      */
-    fun finishes(
+    fun shouldFinishStaging(
         model: ModelId,
         number: WeightNumber,
         staged: Int,
         all: Int,
     ): Boolean {
-        val newest = publication.declared(model)?.number ?: return true
+        val newest = storeView.declared(model)?.number ?: return true
         return number >= newest || staged * 2 >= all
     }
 
@@ -103,28 +103,28 @@
         number: WeightNumber?,
         index: Int,
         now: Duration,
-    ): List<PieceSource> {
+    ): List<WeightSource> {
         val (near, far) = peers.liveEntries(now).filter { it.address != null }.partition { it.region == peers.self.region }
         val entries = ordered(near, model, number, index).take(NEAR_SOURCES) + ordered(far, model, number, index).take(FAR_SOURCES)
-        return entries.mapNotNull { it.address }.map { PieceSource.Entry(it) } + listOfNotNull(origin()).map { PieceSource.Origin(it) }
+        return entries.mapNotNull { it.address }.map { WeightSource.Entry(it) } + listOfNotNull(origin()).map { WeightSource.Origin(it) }
     }
 
     /** Where an entry daemon draws piece [index]: the entry daemon that leads it in the origin's region, else the origin. */
-    fun sourcesAbove(
+    fun upstreamSources(
         model: ModelId,
         number: WeightNumber?,
         index: Int,
         now: Duration,
-    ): List<PieceSource> {
+    ): List<WeightSource> {
         val entries = peers.liveEntries(now)
         val nearOrigin = entries.filter { it.region == originRegion() }.ifEmpty { entries }
         val lead = ordered(nearOrigin, model, number, index).firstOrNull()
-        val fromLead = lead?.takeIf { it.daemon != peers.self.daemon }?.address?.let { PieceSource.Entry(it) }
-        return listOfNotNull(fromLead, origin()?.let { PieceSource.Origin(it) })
+        val fromLead = lead?.takeIf { it.daemon != peers.self.daemon }?.address?.let { WeightSource.Entry(it) }
+        return listOfNotNull(fromLead, origin()?.let { WeightSource.Origin(it) })
     }
 
     /** Whether this entry daemon is the first that the target daemons of its region ask for piece [index]. */
-    fun leads(
+    fun isPrimarySource(
         model: ModelId,
         number: WeightNumber,
         index: Int,
@@ -135,17 +135,17 @@
     }
 
     /** When the back end of [service] at [address] is to switch to [number]; null when it serves nothing and needn't wait. */
-    fun turn(
+    fun scheduledSwitch(
         service: ServiceId,
         address: Address,
         report: BackEndReport,
         number: WeightNumber,
-    ): SwitchTurn? =
-        publication.backEnds
+    ): ScheduledSwitch? =
+        storeView.backEnds
             .firstOrNull { it.service == service && it.address == address }
-            ?.let { turns.turn(it, report.held, number) }
+            ?.let { turns.scheduledSwitch(it, report.held, number) }
 
-    private fun originService(): ServingService? = publication.serving?.services?.firstOrNull { it.origin != null }
+    private fun originService(): ServingService? = storeView.serving?.services?.firstOrNull { it.origin != null }
 
     private fun origin(): Address? = originService()?.origin
 
--- a/control/src/main/kotlin/lagoonrudder/control/direct/PublicationController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/StoreViewController.kt
@@ -14,8 +14,8 @@
 import lagoonrudder.model.Invariant
 import lagoonrudder.model.Invariants
 import lagoonrudder.model.ModelId
-import lagoonrudder.model.Published
-import lagoonrudder.model.ServingSet
+import lagoonrudder.model.StoreRecord
+import lagoonrudder.model.ServingConfiguration
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.WeightNumber
@@ -31,9 +31,9 @@
 )
 
 /** An item together with what it says; [published] is null for a removed item. */
-class ReadItem(
+class DecodedItem(
     val item: StoreItem,
-    val published: Published?,
+    val published: StoreRecord?,
 )
 
 /** The version of a model that back ends are to hold, and when this process learned of it. */
@@ -44,11 +44,11 @@
 )
 
 /** What a batch of items changed. */
-data class PublicationChange(
-    val serving: ServingSet?,
-    val joined: List<BackEnd>,
+data class StoreViewChange(
+    val serving: ServingConfiguration?,
+    val added: List<BackEnd>,
     val changed: List<BackEnd>,
-    val gone: List<TargetId>,
+    val removed: List<TargetId>,
     val declared: List<DeclaredWeights>,
     val evacuated: Set<DomainId>?,
     val unusable: List<String>,
@@ -56,16 +56,16 @@
     val isEmpty: Boolean
         get() =
             serving == null &&
-                joined.isEmpty() &&
+                added.isEmpty() &&
                 changed.isEmpty() &&
-                gone.isEmpty() &&
+                removed.isEmpty() &&
                 declared.isEmpty() &&
                 evacuated == null &&
                 unusable.isEmpty()
 }
 
 /** [ageAtStart] is the age given to a version that was declared before this process started, in place of the unknown one. */
-class PublicationController(
+class StoreViewController(
     private val invariants: Invariants,
     private val ageAtStart: Duration = 5.seconds,
 ) {
@@ -75,7 +75,7 @@
         val until: Duration,
     )
 
-    private val items = mutableMapOf<String, ReadItem>()
+    private val items = mutableMapOf<String, DecodedItem>()
     private val lapsing = mutableMapOf<TargetId, Lapse>()
     private val backEndsById = mutableMapOf<TargetId, BackEnd>()
     private val declaredByModel = mutableMapOf<ModelId, List<DeclaredWeights>>()
@@ -86,7 +86,7 @@
     var at = 0L
         private set
 
-    var serving: ServingSet? = null
+    var serving: ServingConfiguration? = null
         private set
 
     var evacuated: Set<DomainId> = emptySet()
@@ -109,7 +109,7 @@
     val newest: List<DeclaredWeights> get() = declaredByModel.values.map { it.last() }
 
     /** The newest version of [model] that was declared at [time] or before; each declaration binds from its own time on. */
-    fun declaredBy(
+    fun declaredAsOf(
         model: ModelId,
         time: Duration,
     ): DeclaredWeights? = declaredByModel[model]?.lastOrNull { it.since <= time }
@@ -121,25 +121,25 @@
     ): DeclaredWeights? = declaredByModel[model]?.firstOrNull { held == null || it.number > held }
 
     /** Takes changes up to the revision [upTo] from the store. */
-    fun take(
-        changes: List<ReadItem>,
+    fun applyChanges(
+        changes: List<DecodedItem>,
         upTo: Long,
         now: Duration,
-    ): PublicationChange = take(changes, upTo, now, removalsMayLapse = now < disturbedUntil)
+    ): StoreViewChange = applyChanges(changes, upTo, now, removalsMayLapse = now < disturbedUntil)
 
     /** Takes changes that a peer has settled: an entry that it says is gone doesn't come back, however this process's store is. */
-    fun takeSettled(
-        changes: List<ReadItem>,
+    fun applySettledChanges(
+        changes: List<DecodedItem>,
         upTo: Long,
         now: Duration,
-    ): PublicationChange = take(changes, upTo, now, removalsMayLapse = false)
+    ): StoreViewChange = applyChanges(changes, upTo, now, removalsMayLapse = false)
 
-    private fun take(
-        changes: List<ReadItem>,
+    private fun applyChanges(
+        changes: List<DecodedItem>,
         upTo: Long,
         now: Duration,
         removalsMayLapse: Boolean,
-    ): PublicationChange {
+    ): StoreViewChange {
         val first = confirmedAt == null
         val applied = changes.filter { replace(it) }
         at = maxOf(at, upTo)
@@ -148,22 +148,22 @@
     }
 
     /** Takes all items that the store held at the revision [upTo]; an answer older than what is known is passed over. */
-    fun takeWhole(
-        all: List<ReadItem>,
+    fun applySnapshot(
+        all: List<DecodedItem>,
         upTo: Long,
         now: Duration,
-    ): PublicationChange {
-        if (upTo < at) return take(emptyList(), at, now)
+    ): StoreViewChange {
+        if (upTo < at) return applyChanges(emptyList(), at, now)
         val present = all.mapTo(mutableSetOf()) { it.item.key }
         val removed =
             items.values
                 .filter { it.item.value != null && it.item.key !in present && it.item.revision <= upTo }
-                .map { ReadItem(StoreItem(it.item.key, upTo, null), null) }
-        return take(all + removed, upTo, now)
+                .map { DecodedItem(StoreItem(it.item.key, upTo, null), null) }
+        return applyChanges(all + removed, upTo, now)
     }
 
     /** The revision up to which nothing is in doubt: an entry that may have lapsed with the store is told to peers once it is gone. */
-    val settledAt: Long get() = lapsing.values.minOfOrNull { it.change.revision - 1 } ?: at
+    val settledRevision: Long get() = lapsing.values.minOfOrNull { it.change.revision - 1 } ?: at
 
     /** What changed after the revision [after] and isn't in doubt, for a peer. */
     fun changesSince(after: Long): List<StoreItem> {
@@ -172,7 +172,7 @@
     }
 
     /** The store was away until [now]: entries that lapsed meanwhile may come back. */
-    fun disturbed(now: Duration) {
+    fun onStoreUnavailable(now: Duration) {
         disturbedUntil = now + LAPSE_GRACE
     }
 
@@ -187,7 +187,7 @@
     }
 
     /** Beliefs may be old: the process was paused. */
-    fun doubt() {
+    fun requireConfirmation() {
         confirmedAt = null
     }
 
@@ -204,7 +204,7 @@
             entry("back-ends", backEndsById.values.map { "${it.id.text} leaving=${it.leaving} weights=${it.weights?.number?.number}" })
         }
 
-    private fun replace(change: ReadItem): Boolean {
+    private fun replace(change: DecodedItem): Boolean {
         val known = items[change.item.key]
         if (known != null && known.item.revision >= change.item.revision) return false
         items[change.item.key] = change
@@ -212,35 +212,35 @@
     }
 
     private fun publish(
-        applied: List<ReadItem>,
+        applied: List<DecodedItem>,
         now: Duration,
         first: Boolean,
         removalsMayLapse: Boolean,
-    ): PublicationChange {
-        val joined = mutableListOf<BackEnd>()
+    ): StoreViewChange {
+        val added = mutableListOf<BackEnd>()
         val changed = mutableListOf<BackEnd>()
         val declared = mutableListOf<DeclaredWeights>()
         val unusable = mutableListOf<String>()
-        var next: ServingSet? = null
+        var next: ServingConfiguration? = null
         for (change in applied) {
             when (val published = change.published) {
-                is Published.Serving -> next = newer(published.set, next)
-                is Published.Registered -> if (register(published.backEnd)) joined += published.backEnd else changed += published.backEnd
-                is Published.Declared -> declare(published, now, first)?.let { declared += it }
-                is Published.Unusable -> unusable += "${change.item.key}: ${published.detail}"
-                is Published.Evacuated, null -> Unit
+                is StoreRecord.Configuration -> next = newer(published.set, next)
+                is StoreRecord.Registered -> if (register(published.backEnd)) added += published.backEnd else changed += published.backEnd
+                is StoreRecord.VersionDeclaration -> declare(published, now, first)?.let { declared += it }
+                is StoreRecord.Unreadable -> unusable += "${change.item.key}: ${published.detail}"
+                is StoreRecord.DomainEvacuation, null -> Unit
             }
         }
         next?.let { serving = it }
         // An entry may be removed and come back within one answer; what counts is its newest change.
-        val gone = applied.filter { items[it.item.key] === it }.mapNotNull { removal(it, removalsMayLapse) }
-        return PublicationChange(next, joined, changed, gone, declared, changedEvacuation(), unusable)
+        val removed = applied.filter { items[it.item.key] === it }.mapNotNull { removal(it, removalsMayLapse) }
+        return StoreViewChange(next, added, changed, removed, declared, changedEvacuation(), unusable)
     }
 
     private fun newer(
-        offered: ServingSet,
-        before: ServingSet?,
-    ): ServingSet? {
+        offered: ServingConfiguration,
+        before: ServingConfiguration?,
+    ): ServingConfiguration? {
         val current = before ?: serving
         val rises = current == null || offered.revision > current.revision
         invariants.check(rises, Invariant.CONFIGURATION_NEVER_REVERTS, Step.ACCEPT_CONFIGURATION) {
@@ -256,10 +256,10 @@
 
     /** Returns the back end that [change] takes away at once; one that may come back stays until its grace ends. */
     private fun removal(
-        change: ReadItem,
+        change: DecodedItem,
         mayLapse: Boolean,
     ): TargetId? {
-        if (change.published is Published.Registered) return null
+        if (change.published is StoreRecord.Registered) return null
         val id = backEndsById.keys.firstOrNull { change.item.key.endsWith("/${it.text}") } ?: return null
         if (mayLapse && change.item.value == null) {
             lapsing[id] = Lapse(change.item, disturbedUntil)
@@ -271,7 +271,7 @@
     }
 
     private fun declare(
-        offered: Published.Declared,
+        offered: StoreRecord.VersionDeclaration,
         now: Duration,
         first: Boolean,
     ): DeclaredWeights? {
@@ -284,7 +284,7 @@
     }
 
     private fun changedEvacuation(): Set<DomainId>? {
-        val next = items.values.mapNotNullTo(mutableSetOf()) { (it.published as? Published.Evacuated)?.domain }
+        val next = items.values.mapNotNullTo(mutableSetOf()) { (it.published as? StoreRecord.DomainEvacuation)?.domain }
         if (next == evacuated) return null
         evacuated = next
         return next
--- a/control/src/main/kotlin/lagoonrudder/control/direct/SwitchTurns.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/SwitchSchedule.kt
@@ -18,43 +18,43 @@
  * When a back end closes. Until [othersServeUntil] enough others hold its version to take the requests that are still running
  * there; null when they can't.
  */
-data class SwitchTurn(
+data class ScheduledSwitch(
     val at: Duration,
     private val othersServeUntil: Duration?,
 ) {
     /** What becomes of running requests when the back end closes at [time], which may be later than its turn. */
     fun handover(time: Duration): Handover =
-        if (othersServeUntil != null && time < othersServeUntil) Handover.GO_ON_ELSEWHERE else Handover.LET_END
+        if (othersServeUntil != null && time < othersServeUntil) Handover.RESUME_ELSEWHERE else Handover.DRAIN
 }
 
 /** What a back end that switches does with running requests that have not ended soon after it closed. */
 enum class Handover {
     /** Breaks them off; they go on at back ends that still hold their version. */
-    GO_ON_ELSEWHERE,
+    RESUME_ELSEWHERE,
 
     /** Lets them end, since hardly any other back end holds their version any more. */
-    LET_END,
+    DRAIN,
 }
 
-class SwitchTurns(
-    private val publication: PublicationController,
+class SwitchSchedule(
+    private val storeView: StoreViewController,
 ) {
     /** When [backEnd], which holds [held], is to close to load [number]; null while it holds that version or none. */
-    fun turn(
+    fun scheduledSwitch(
         backEnd: BackEnd,
         held: HeldWeights?,
         number: WeightNumber,
-    ): SwitchTurn? {
+    ): ScheduledSwitch? {
         val model = held?.model ?: return null
-        val declared = publication.declaration(model, number) ?: return null
-        val oldest = publication.oldestUnmet(model, held.number) ?: return null
-        val candidates = publication.backEnds.filter { it.service == backEnd.service }.map { it.id }
+        val declared = storeView.declaration(model, number) ?: return null
+        val oldest = storeView.oldestUnmet(model, held.number) ?: return null
+        val candidates = storeView.backEnds.filter { it.service == backEnd.service }.map { it.id }
         val order = rendezvousOrder("${model.text} ${number.number}", candidates) { it.text }
         val place = order.indexOf(backEnd.id).coerceAtLeast(0)
         val first = declared.since + FIRST_TURN
         val last = (oldest.since + FIRST_TURN + TURNS_SPREAD).coerceAtLeast(first)
         val canGoOn = order.size >= FEWEST_FOR_HANDOVER && allGoOn(backEnd.service)
-        return SwitchTurn(
+        return ScheduledSwitch(
             at = first + (last - first) * (place.toDouble() / order.size.coerceAtLeast(1)),
             othersServeUntil = if (canGoOn) first + (last - first) * HANDED_OVER else null,
         )
@@ -62,11 +62,11 @@
 
     /** Whether every request for [service] can go on at a second back end. */
     private fun allGoOn(service: ServiceId): Boolean =
-        publication.serving
+        storeView.serving
             ?.routes
             .orEmpty()
             .filter { route -> route.shares.any { it.service == service } }
-            .all { it.kind.repeatable && it.attempts > 1 }
+            .all { it.kind.retryable && it.attempts > 1 }
 
     private companion object {
         /** A copy takes three seconds over a target's link, less when it overlaps the origin's sending. */
--- a/control/src/test/kotlin/lagoonrudder/control/WeightPlanTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/ChunkSourcePlanTest.kt
@@ -17,14 +17,14 @@
 
 /** Three regions of two failure domains with four holders each. */
 private val holders =
-    (0 until 24).map { Holder(DaemonId("d$it"), DomainId("domain-${it / 4}"), RegionId("r${it / 8}")) }
+    (0 until 24).map { WeightHolder(DaemonId("d$it"), DomainId("domain-${it / 4}"), RegionId("r${it / 8}")) }
 
 private fun firstSource(
-    holder: Holder,
+    holder: WeightHolder,
     chunk: Int,
-) = WeightPlan(SourcePolicy.Striped, version, holder, holders, home, CHUNKS).sources(ChunkIndex(chunk)).first()
+) = ChunkSourcePlan(SourcePolicy.Striped, version, holder, holders, home, CHUNKS).sources(ChunkIndex(chunk)).first()
 
-class WeightPlanTest :
+class ChunkSourcePlanTest :
     FunSpec({
         test("exactly one holder draws each chunk from the origin, in the origin's region") {
             for (chunk in 0 until CHUNKS) {
@@ -65,7 +65,7 @@
 
         test("the origin is the last resort of every chunk for every holder") {
             for (holder in holders) {
-                val plan = WeightPlan(SourcePolicy.Striped, version, holder, holders, home, CHUNKS)
+                val plan = ChunkSourcePlan(SourcePolicy.Striped, version, holder, holders, home, CHUNKS)
                 (0 until CHUNKS).forEach { plan.sources(ChunkIndex(it)).last() shouldBe ChunkSource.Origin }
             }
         }
--- a/control/src/test/kotlin/lagoonrudder/control/ConfigurationControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/ConfigurationControllerTest.kt
@@ -6,7 +6,7 @@
 import io.kotest.matchers.types.shouldBeInstanceOf
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.objectSet
 import kotlin.random.Random
 import kotlin.time.Duration
@@ -18,7 +18,7 @@
     revision: Long,
     objects: ObjectSet,
 ): ConfigurationOutcome {
-    val checked = CheckedSet.ofWhole(SealedSet(Revision(revision), objects), current, somePeer)
+    val checked = CheckedSet.ofFullSet(ObjectSnapshot(Revision(revision), objects), current, somePeer)
     return offer(checked.getOrElse { error(it.describe()) })
 }
 
@@ -27,7 +27,7 @@
         test("an older set never displaces a newer one") {
             val controller = ConfigurationController(strictInvariants())
             controller.offerWhole(5, objectsWith(2))
-            controller.offerWhole(4, objectsWith(9)) shouldBe ConfigurationOutcome.Superseded(Revision(5), twin = false)
+            controller.offerWhole(4, objectsWith(9)) shouldBe ConfigurationOutcome.Superseded(Revision(5), conflicting = false)
             controller.current.revision shouldBe Revision(5)
         }
 
@@ -45,7 +45,7 @@
 
         test("a set that fails the check is not even offered") {
             val broken = objectSet { domain("ost", region = "nowhere") }
-            CheckedSet.ofWhole(SealedSet(Revision(1), broken), SealedSet.EMPTY, somePeer).isLeft() shouldBe true
+            CheckedSet.ofFullSet(ObjectSnapshot(Revision(1), broken), ObjectSnapshot.EMPTY, somePeer).isLeft() shouldBe true
         }
 
         test("changes whose digest does not fit are damaged") {
@@ -62,7 +62,7 @@
         test("changes over several revisions lead from any recent set to the one in force") {
             val random = Random(11)
             val controller = ConfigurationController(strictInvariants())
-            val history = mutableListOf<SealedSet>()
+            val history = mutableListOf<ObjectSnapshot>()
             for (revision in 1L..30L) {
                 controller.offerWhole(revision, objectsWith(random.nextInt(1, 12)))
                 history += controller.current
@@ -75,9 +75,9 @@
 
         test("a check against a set that was replaced meanwhile is made again") {
             val controller = ConfigurationController(strictInvariants())
-            val checked = CheckedSet.ofWhole(SealedSet(Revision(2), objectsWith(1)), controller.current, somePeer).getOrNull()!!
+            val checked = CheckedSet.ofFullSet(ObjectSnapshot(Revision(2), objectsWith(1)), controller.current, somePeer).getOrNull()!!
             controller.offerWhole(1, objectsWith(2))
-            controller.offer(checked) shouldBe ConfigurationOutcome.BaseMoved
+            controller.offer(checked) shouldBe ConfigurationOutcome.BaseChanged
         }
 
         test("after a pause nothing is served until peers confirmed, or the time for that is over") {
@@ -86,7 +86,7 @@
             controller.mayServe(Duration.ZERO) shouldBe false
             controller.confirm()
             controller.mayServe(1.seconds) shouldBe true
-            controller.suspectStale(10.seconds, 1.seconds)
+            controller.requireConfirmation(10.seconds, 1.seconds)
             controller.mayServe(10.seconds) shouldBe false
             controller.mayServe(11.seconds) shouldBe true
         }
--- a/control/src/test/kotlin/lagoonrudder/control/SpreadControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/DisseminationControllerTest.kt
@@ -7,17 +7,17 @@
 import lagoonrudder.model.Revision
 import kotlin.random.Random
 
-private fun controllers(count: Int): Map<DaemonId, SpreadController> =
-    (0 until count).map { DaemonId("daemon-$it") }.associateWith { SpreadController(it, SpreadPolicy.Tree(), Random(1)) }
+private fun controllers(count: Int): Map<DaemonId, DisseminationController> =
+    (0 until count).map { DaemonId("daemon-$it") }.associateWith { DisseminationController(it, DisseminationPolicy.Tree(), Random(1)) }
 
 /** The daemons that a revision reaches from the watchers when everyone passes it on. */
 private fun reached(
-    controllers: Map<DaemonId, SpreadController>,
+    controllers: Map<DaemonId, DisseminationController>,
     revision: Revision,
 ): Set<DaemonId> {
     val live = controllers.keys
     val reached = mutableSetOf<DaemonId>()
-    val open = ArrayDeque(controllers.filterValues { it.watches(live) }.keys)
+    val open = ArrayDeque(controllers.filterValues { it.shouldWatch(live) }.keys)
     while (open.isNotEmpty()) {
         val daemon = open.removeFirst()
         if (!reached.add(daemon)) continue
@@ -26,12 +26,12 @@
     return reached
 }
 
-class SpreadControllerTest :
+class DisseminationControllerTest :
     FunSpec({
         test("two daemons watch, whatever the size of the failure domain") {
             for (count in listOf(2, 10, 400)) {
                 val controllers = controllers(count)
-                controllers.values.count { it.watches(controllers.keys) } shouldBe 2
+                controllers.values.count { it.shouldWatch(controllers.keys) } shouldBe 2
             }
         }
 
@@ -45,8 +45,8 @@
 
         test("when a watcher goes another takes its place") {
             val controllers = controllers(10)
-            val watcher = controllers.filterValues { it.watches(controllers.keys) }.keys.first()
+            val watcher = controllers.filterValues { it.shouldWatch(controllers.keys) }.keys.first()
             val left = controllers.keys - watcher
-            left.count { controllers.getValue(it).watches(left) } shouldBe 2
+            left.count { controllers.getValue(it).shouldWatch(left) } shouldBe 2
         }
     })
--- a/control/src/test/kotlin/lagoonrudder/control/MembershipControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/MembershipControllerTest.kt
@@ -27,11 +27,11 @@
             val membership = MembershipController(DaemonId("self"))
             membership.replaceList(listOf(instance(1), instance(2)), 1)
             membership.suspect(DaemonId("d1"), Duration.ZERO)
-            membership.live(ost, 1.seconds) shouldContainExactlyInAnyOrder listOf(DaemonId("self"), DaemonId("d2"))
-            membership.live(ost, 4.seconds).size shouldBe 3
+            membership.liveDaemons(ost, 1.seconds) shouldContainExactlyInAnyOrder listOf(DaemonId("self"), DaemonId("d2"))
+            membership.liveDaemons(ost, 4.seconds).size shouldBe 3
             membership.suspect(DaemonId("d2"), 4.seconds)
-            membership.alive(DaemonId("d2"))
-            membership.live(ost, 4.seconds).size shouldBe 3
+            membership.clearSuspicion(DaemonId("d2"))
+            membership.liveDaemons(ost, 4.seconds).size shouldBe 3
         }
 
         test("an older list never displaces a newer one") {
--- a/control/src/test/kotlin/lagoonrudder/control/RoutingControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/RoutingControllerTest.kt
@@ -8,7 +8,7 @@
 import lagoonrudder.model.FleetId
 import lagoonrudder.model.IncarnationId
 import lagoonrudder.model.ObjectSet
-import lagoonrudder.model.Service
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.objectSet
@@ -25,7 +25,7 @@
         region("west")
         link("ost", "west", linkBytes)
         domain("ost")
-        domain("west", service = if (westOut) Service.OUT else Service.IN)
+        domain("west", service = if (westOut) AdminState.OUT else AdminState.IN)
         model("m")
         version("m-1", "m")
         engineFleet("workers", "m-1")
@@ -39,21 +39,21 @@
     inFlight: Int = 0,
     version: String = "m-1",
     accepting: Boolean = true,
-) = TargetReport(TargetId(target), IncarnationId("i"), Room(limit, inFlight, 10_000), VersionId(version), accepting)
+) = TargetReport(TargetId(target), IncarnationId("i"), TargetLoad(limit, inFlight, 10_000), VersionId(version), accepting)
 
-private fun need(bytes: Long = 1_000) = Need(FleetId("workers"), null, 10, bytes, null, emptySet())
+private fun need(bytes: Long = 1_000) = RoutingRequest(FleetId("workers"), null, 10, bytes, null, emptySet())
 
 private fun routing(
     set: ObjectSet = objects(),
-    policy: ChoicePolicy = ChoicePolicy.FreshRoom(),
+    policy: LoadBalancingPolicy = LoadBalancingPolicy.FreshRoom(),
 ) = RoutingController("entry-1", DomainId("ost"), policy, Random(3)).apply { configure(set, 1) }
 
 private fun RoutingController.reportAll(
     vararg reports: TargetReport,
     now: Duration = Duration.ZERO,
-) = reports.forEach { reported(it, now) }
+) = reports.forEach { onTargetReport(it, now) }
 
-private fun RoutingController.chosen(now: Duration = Duration.ZERO) = choose(need(), now).shouldBeInstanceOf<Choice.Chosen>().target.text
+private fun RoutingController.chosen(now: Duration = Duration.ZERO) = selectTarget(need(), now).shouldBeInstanceOf<RoutingDecision.Selected>().target.text
 
 class RoutingControllerTest :
     FunSpec({
@@ -61,7 +61,7 @@
             val routing = routing()
             routing.reportAll(report("ost-a", limit = 2), report("ost-b", limit = 3))
             repeat(5) { routing.chosen().startsWith("ost") shouldBe true }
-            routing.choose(need(), Duration.ZERO) shouldBe Choice.NoRoom
+            routing.selectTarget(need(), Duration.ZERO) shouldBe RoutingDecision.NoCapacity
         }
 
         test("a target that holds other weights or does not accept is passed over") {
@@ -75,7 +75,7 @@
             routing.reportAll(report("ost-a"), report("ost-b"))
             val later = 10.seconds
             repeat(2) { routing.chosen(later) }
-            routing.choose(need(), later) shouldBe Choice.NoRoom
+            routing.selectTarget(need(), later) shouldBe RoutingDecision.NoCapacity
         }
 
         test("a target that fails three times in a row is set aside, then tried with one request") {
@@ -83,12 +83,12 @@
             routing.reportAll(report("ost-a", limit = 0), report("ost-b"))
             repeat(3) {
                 routing.chosen() shouldBe "ost-b"
-                routing.finished(TargetId("ost-b"), failed = true, now = Duration.ZERO)
+                routing.onRequestFinished(TargetId("ost-b"), failed = true, now = Duration.ZERO)
             }
-            routing.choose(need(), Duration.ZERO) shouldBe Choice.NoRoom
+            routing.selectTarget(need(), Duration.ZERO) shouldBe RoutingDecision.NoCapacity
             routing.reportAll(report("ost-b"), now = 1.seconds)
             routing.chosen(1.seconds) shouldBe "ost-b"
-            routing.choose(need(), 1.seconds) shouldBe Choice.NoRoom
+            routing.selectTarget(need(), 1.seconds) shouldBe RoutingDecision.NoCapacity
         }
 
         test("a full failure domain spills to another within the budget of the link and half of the neighbour's room") {
@@ -99,31 +99,31 @@
                 report("west-a", limit = 8),
                 report("west-b", limit = 8),
             )
-            val spilled = generateSequence { routing.choose(need(bytes = 1_000), Duration.ZERO) as? Choice.Chosen }.toList()
+            val spilled = generateSequence { routing.selectTarget(need(bytes = 1_000), Duration.ZERO) as? RoutingDecision.Selected }.toList()
             spilled.size shouldBe 8
         }
 
         test("nothing goes to a failure domain that is out of service") {
             val routing = routing(objects(westOut = true))
             routing.reportAll(report("ost-a", limit = 0), report("ost-b", limit = 0), report("west-a"), report("west-b"))
-            routing.choose(need(), Duration.ZERO) shouldBe Choice.NoRoom
+            routing.selectTarget(need(), Duration.ZERO) shouldBe RoutingDecision.NoCapacity
         }
 
         test("the owner of a key is the only candidate, and none when it is not linked") {
             val routing = routing()
-            routing.choose(need().copy(owner = TargetId("west-a")), Duration.ZERO) shouldBe Choice.NoTarget
+            routing.selectTarget(need().copy(owner = TargetId("west-a")), Duration.ZERO) shouldBe RoutingDecision.NoTarget
             routing.reportAll(report("west-a", limit = 8))
-            routing.choose(need().copy(owner = TargetId("west-a")), Duration.ZERO) shouldBe
-                Choice.Chosen(TargetId("west-a"), DomainId("west"))
+            routing.selectTarget(need().copy(owner = TargetId("west-a")), Duration.ZERO) shouldBe
+                RoutingDecision.Selected(TargetId("west-a"), DomainId("west"))
         }
 
         test("a known prefix draws a request unless the target is much fuller") {
             val routing = routing()
             val warm = need().copy(prefix = 42)
             routing.reportAll(report("ost-a", limit = 100), report("ost-b", limit = 100))
-            val first = routing.choose(warm, Duration.ZERO).shouldBeInstanceOf<Choice.Chosen>().target
-            repeat(10) { routing.choose(warm, Duration.ZERO).shouldBeInstanceOf<Choice.Chosen>().target shouldBe first }
-            routing.reported(report(first.text, limit = 100, inFlight = 90), Duration.ZERO)
-            routing.choose(warm, Duration.ZERO).shouldBeInstanceOf<Choice.Chosen>().target shouldNotBe first
+            val first = routing.selectTarget(warm, Duration.ZERO).shouldBeInstanceOf<RoutingDecision.Selected>().target
+            repeat(10) { routing.selectTarget(warm, Duration.ZERO).shouldBeInstanceOf<RoutingDecision.Selected>().target shouldBe first }
+            routing.onTargetReport(report(first.text, limit = 100, inFlight = 90), Duration.ZERO)
+            routing.selectTarget(warm, Duration.ZERO).shouldBeInstanceOf<RoutingDecision.Selected>().target shouldNotBe first
         }
     })
--- a/control/src/test/kotlin/lagoonrudder/control/SwitchControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/VersionSwitchControllerTest.kt
@@ -47,27 +47,27 @@
     order: List<TargetId>,
     engine: EngineState = state("m-1"),
     floor: Double = 0.5,
-) = SwitchController(self, Duration.ZERO).apply {
+) = VersionSwitchController(self, Duration.ZERO).apply {
     configure(fleet("m-2", floor), versionOf("m-2"), order)
-    read(engine)
-    ordered(next(false, 0, Duration.ZERO, date).shouldBeInstanceOf<SwitchStep.Give>().order, OrderResult.Fenced)
-    read(engine)
+    onEngineState(engine)
+    onOrderResult(next(false, 0, Duration.ZERO, date).shouldBeInstanceOf<SwitchStep.SendOrder>().order, OrderResult.Fenced)
+    onEngineState(engine)
 }
 
-private fun SwitchController.step(
+private fun VersionSwitchController.step(
     complete: Boolean = true,
     inFlight: Int = 0,
     now: Duration = 30.seconds,
 ) = next(complete, inFlight, now, date)
 
-class SwitchControllerTest :
+class VersionSwitchControllerTest :
     FunSpec({
         test("an engine is ordered to load only what is complete") {
             val switch = switchOf(TargetId("t0"), targets(1))
-            switch.step(complete = false) shouldBe SwitchStep.DrawWeights
+            switch.step(complete = false) shouldBe SwitchStep.FetchWeights
             switch
                 .step()
-                .shouldBeInstanceOf<SwitchStep.Give>()
+                .shouldBeInstanceOf<SwitchStep.SendOrder>()
                 .order
                 .shouldBeInstanceOf<EngineOrder.LoadModel>()
                 .version shouldBe
@@ -86,55 +86,55 @@
             val behind = switchOf(TargetId("t0"), targets(1), state("m-1", fencing = clock + 50))
             behind
                 .step()
-                .shouldBeInstanceOf<SwitchStep.Give>()
+                .shouldBeInstanceOf<SwitchStep.SendOrder>()
                 .order.fencing.number shouldBeGreaterThan clock + 50
         }
 
         test("orders of an earlier life are waited out where the engine ignores fencing numbers") {
-            val switch = SwitchController(TargetId("t0"), 30.seconds)
+            val switch = VersionSwitchController(TargetId("t0"), 30.seconds)
             switch.configure(fleet("m-2"), versionOf("m-2"), targets(1))
-            switch.read(state("m-1", fencing = null))
+            switch.onEngineState(state("m-1", fencing = null))
             switch.step() shouldBe SwitchStep.ReadEngine
             switch.fencing() shouldBe FencingKnowledge.Ignores
-            switch.step(now = 31.seconds).shouldBeInstanceOf<SwitchStep.WaitOut>()
-            switch.step(now = 41.seconds).shouldBeInstanceOf<SwitchStep.Give>()
+            switch.step(now = 31.seconds).shouldBeInstanceOf<SwitchStep.AwaitOrderTimeout>()
+            switch.step(now = 41.seconds).shouldBeInstanceOf<SwitchStep.SendOrder>()
         }
 
         test("an engine that reports a fencing number and takes an old one is known to ignore them") {
-            val switch = SwitchController(TargetId("t0"), Duration.ZERO)
+            val switch = VersionSwitchController(TargetId("t0"), Duration.ZERO)
             switch.configure(fleet("m-2"), versionOf("m-2"), targets(1))
-            switch.read(state("m-1", fencing = 9))
-            val probe = switch.step().shouldBeInstanceOf<SwitchStep.Give>().order
+            switch.onEngineState(state("m-1", fencing = 9))
+            val probe = switch.step().shouldBeInstanceOf<SwitchStep.SendOrder>().order
             probe.fencing shouldBe FencingNumber(8)
-            switch.ordered(probe, OrderResult.Done)
+            switch.onOrderResult(probe, OrderResult.Done)
             switch.fencing() shouldBe FencingKnowledge.Ignores
         }
 
         test("the first target goes first, and the others wait for it") {
             val order = targets(4)
-            switchOf(order[0], order).step().shouldBeInstanceOf<SwitchStep.Give>()
-            switchOf(order[1], order).step() shouldBe SwitchStep.AskOthers(listOf(order[0]))
-            switchOf(order[3], order).step() shouldBe SwitchStep.AskOthers(listOf(order[0], order[1]))
+            switchOf(order[0], order).step().shouldBeInstanceOf<SwitchStep.SendOrder>()
+            switchOf(order[1], order).step() shouldBe SwitchStep.QueryTargets(listOf(order[0]))
+            switchOf(order[3], order).step() shouldBe SwitchStep.QueryTargets(listOf(order[0], order[1]))
         }
 
         test("a version that fails on the first target stops there") {
             val order = targets(4)
             val first = switchOf(order[0], order)
             repeat(3) {
-                val given = first.step().shouldBeInstanceOf<SwitchStep.Give>().order
-                first.ordered(given, OrderResult.Declined("can't run"))
-                first.read(state("m-1"))
+                val given = first.step().shouldBeInstanceOf<SwitchStep.SendOrder>().order
+                first.onOrderResult(given, OrderResult.Declined("can't run"))
+                first.onEngineState(state("m-1"))
             }
             first.status() shouldBe SwitchStatus.FAILED
             val second = switchOf(order[1], order)
-            second.heard(order[0], VersionId("m-2"), first.status(), 30.seconds)
-            second.step(now = 300.seconds) shouldBe SwitchStep.AskOthers(listOf(order[0]))
+            second.onSwitchReport(order[0], VersionId("m-2"), first.status(), 30.seconds)
+            second.step(now = 300.seconds) shouldBe SwitchStep.QueryTargets(listOf(order[0]))
             second.refusal() shouldBe null
         }
 
         test("an engine without a version loads at once") {
             val order = targets(4)
-            switchOf(order[3], order, state(null)).step().shouldBeInstanceOf<SwitchStep.Give>()
+            switchOf(order[3], order, state(null)).step().shouldBeInstanceOf<SwitchStep.SendOrder>()
         }
 
         test("in random waves no more targets are out at once than the floor leaves") {
@@ -148,16 +148,16 @@
                 repeat(2_000) {
                     val (target, switch) = switches.entries.random(random)
                     when (val step = switch.step()) {
-                        is SwitchStep.AskOthers ->
+                        is SwitchStep.QueryTargets ->
                             step.targets.forEach {
-                                switch.heard(
+                                switch.onSwitchReport(
                                     it,
                                     VersionId("m-2"),
                                     switches.getValue(it).status(),
                                     30.seconds,
                                 )
                             }
-                        is SwitchStep.Give -> {
+                        is SwitchStep.SendOrder -> {
                             loading[target] = step.order
                             loading.size shouldBeLessThanOrEqual allowed
                         }
@@ -166,8 +166,8 @@
                     if (loading.isNotEmpty() && random.nextInt(3) == 0) {
                         val (done, given) = loading.entries.random(random)
                         loading.remove(done)
-                        switches.getValue(done).ordered(given, OrderResult.Done)
-                        switches.getValue(done).read(state("m-2"))
+                        switches.getValue(done).onOrderResult(given, OrderResult.Done)
+                        switches.getValue(done).onEngineState(state("m-2"))
                     }
                 }
                 switches.values.all { it.status() == SwitchStatus.SERVING } shouldBe true
--- a/control/src/test/kotlin/lagoonrudder/control/direct/DirectFixtures.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/direct/DirectFixtures.kt
@@ -8,7 +8,7 @@
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.HeldWeights
 import lagoonrudder.model.ModelId
-import lagoonrudder.model.Published
+import lagoonrudder.model.StoreRecord
 import lagoonrudder.model.RegionId
 import lagoonrudder.model.RequestKind
 import lagoonrudder.model.Revision
@@ -17,7 +17,7 @@
 import lagoonrudder.model.ServiceShare
 import lagoonrudder.model.ServingRoute
 import lagoonrudder.model.ServingService
-import lagoonrudder.model.ServingSet
+import lagoonrudder.model.ServingConfiguration
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.WeightLayout
 import lagoonrudder.model.WeightNumber
@@ -52,7 +52,7 @@
 internal fun servingSet(
     revision: Long,
     cold: Double? = null,
-) = ServingSet(
+) = ServingConfiguration(
     revision = Revision(revision),
     routes = emptyList(),
     services =
@@ -71,24 +71,24 @@
         prefix = "/",
         kind = kind,
         timeout = 6.seconds,
-        objective = 1.seconds,
+        latencyObjective = 1.seconds,
         priority = 1,
         attempts = 2,
         shares = listOf(ServiceShare(ENGINES, 1.0)),
         open = true,
-        homes = emptySet(),
+        homeRegions = emptySet(),
     )
 
 internal fun item(
     key: String,
     revision: Long,
-    published: Published?,
-) = ReadItem(StoreItem(key, revision, if (published == null) null else ByteArray(0)), published)
+    published: StoreRecord?,
+) = DecodedItem(StoreItem(key, revision, if (published == null) null else ByteArray(0)), published)
 
 internal fun registered(
     backEnd: BackEnd,
     revision: Long,
-) = item("servers/${backEnd.id.text}", revision, Published.Registered(backEnd))
+) = item("servers/${backEnd.id.text}", revision, StoreRecord.Registered(backEnd))
 
 internal fun peer(
     name: String,
--- a/control/src/test/kotlin/lagoonrudder/control/direct/PlacementControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/direct/PlacementControllerTest.kt
@@ -12,7 +12,7 @@
 import lagoonrudder.model.CustomerId
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.HeldWeights
-import lagoonrudder.model.Published
+import lagoonrudder.model.StoreRecord
 import lagoonrudder.model.Refusal
 import lagoonrudder.model.RegionId
 import lagoonrudder.model.TargetId
@@ -31,44 +31,44 @@
     cold: Double? = null,
 ) {
     var now = 100.seconds
-    val publication = PublicationController(strictInvariants())
+    val storeView = StoreViewController(strictInvariants())
     val peers = PeerController(peer("self"), emptyList())
-    val slots = SlotController()
+    val slots = BackEndStateController()
     val placement =
-        PlacementController(Places(NEAR, REGIONS), PlacementBounds(8.seconds, 1.5, 5.0), publication, peers, slots, Random(1))
+        PlacementController(Topology(NEAR, REGIONS), PlacementBounds(8.seconds, 1.5, 5.0), storeView, peers, slots, Random(1))
 
     init {
-        publication.take(listOf(item("op/config", 1, Published.Serving(servingSet(1, cold)))), 1, 10.seconds)
-        publication.take(backEnds.mapIndexed { index, each -> registered(each, index + 2L) }, 50, 10.seconds)
+        storeView.applyChanges(listOf(item("op/config", 1, StoreRecord.Configuration(servingSet(1, cold)))), 1, 10.seconds)
+        storeView.applyChanges(backEnds.mapIndexed { index, each -> registered(each, index + 2L) }, 50, 10.seconds)
     }
 
     fun place(
-        patience: Duration = Duration.ZERO,
+        maxWait: Duration = Duration.ZERO,
         customer: String? = null,
-        homes: List<Set<RegionId>> = emptyList(),
-        passedOver: Set<TargetId> = emptySet(),
+        homeRegions: List<Set<RegionId>> = emptyList(),
+        excluded: Set<TargetId> = emptySet(),
         number: Long? = null,
         promptTokens: Int = 0,
         isLate: Boolean = false,
     ) = placement.place(
-        PlacementNeed(
+        PlacementRequest(
             ENGINES,
             customer?.let { CustomerId(it) },
             1,
-            homes,
-            passedOver,
+            homeRegions,
+            excluded,
             number?.let { WeightNumber(it) },
             promptTokens,
             isLate,
         ),
-        patience,
+        maxWait,
         now,
     )
 
     fun declare(number: Long) =
-        publication.take(listOf(item("op/version/model", 60 + number, Published.Declared(MODEL, WeightNumber(number)))), 60 + number, now)
+        storeView.applyChanges(listOf(item("op/version/model", 60 + number, StoreRecord.VersionDeclaration(MODEL, WeightNumber(number)))), 60 + number, now)
 
-    fun evacuate(domain: DomainId) = publication.take(listOf(item("op/evacuate/${domain.text}", 90, Published.Evacuated(domain))), 90, now)
+    fun evacuate(domain: DomainId) = storeView.applyChanges(listOf(item("op/evacuate/${domain.text}", 90, StoreRecord.DomainEvacuation(domain))), 90, now)
 }
 
 @OptIn(ExperimentalCoroutinesApi::class)
@@ -90,33 +90,33 @@
         test("a back end that reads a prompt from this process is passed over while another one reads none") {
             val scene = Scene(listOf(backEnd("a"), backEnd("b")))
             val first = scene.place(promptTokens = 1_000).target.shouldNotBeNull()
-            scene.placement.ended(first, null, AttemptEnd.ANSWERED, scene.now)
+            scene.placement.ended(first, null, AttemptOutcome.ANSWERED, scene.now)
             val other = if (first == TargetId("a")) "b" else "a"
-            scene.peers.heard(peer("other"), mapOf(TargetId(other) to 1), scene.now)
+            scene.peers.onGossipReceived(peer("other"), mapOf(TargetId(other) to 1), scene.now)
             scene.place(promptTokens = 1_000).target shouldBe TargetId(other)
         }
 
         test("what other entry daemons have in flight counts") {
             val scene = Scene(listOf(backEnd("a"), backEnd("b")))
-            scene.peers.heard(peer("other"), mapOf(TargetId("a") to 4), scene.now)
+            scene.peers.onGossipReceived(peer("other"), mapOf(TargetId("a") to 4), scene.now)
             (1..3).map { scene.place().target }.toSet() shouldBe setOf(TargetId("b"))
         }
 
         test("a request waits for a place and gets the first that is free") {
             val scene = Scene(listOf(backEnd("a")))
             repeat(5) { scene.place().target shouldBe TargetId("a") }
-            val waiting = scene.place(patience = 1.seconds)
+            val waiting = scene.place(maxWait = 1.seconds)
             waiting.isCompleted shouldBe false
-            scene.placement.ended(TargetId("a"), null, AttemptEnd.ANSWERED, scene.now)
+            scene.placement.ended(TargetId("a"), null, AttemptOutcome.ANSWERED, scene.now)
             waiting.target shouldBe TargetId("a")
         }
 
         test("a request that waited too long is refused as overloaded") {
             val scene = Scene(listOf(backEnd("a")))
             repeat(5) { scene.place() }
-            val waiting = scene.place(patience = 100.milliseconds)
+            val waiting = scene.place(maxWait = 100.milliseconds)
             scene.now += 200.milliseconds
-            scene.placement.serveLine(scene.now)
+            scene.placement.dispatchQueued(scene.now)
             waiting
                 .getCompleted()
                 .shouldBeInstanceOf<Placement.Refused>()
@@ -127,9 +127,9 @@
         test("a request whose patience is over is decided at once, and the others stay in line") {
             val scene = Scene(listOf(backEnd("a")))
             repeat(5) { scene.place() }
-            val impatient = scene.place(patience = 100.milliseconds)
-            val patient = scene.place(patience = 1.seconds)
-            scene.placement.decideNow(impatient, scene.now + 100.milliseconds)
+            val impatient = scene.place(maxWait = 100.milliseconds)
+            val patient = scene.place(maxWait = 1.seconds)
+            scene.placement.onWaitTimeout(impatient, scene.now + 100.milliseconds)
             impatient.getCompleted().shouldBeInstanceOf<Placement.Refused>()
             patient.isCompleted shouldBe false
         }
@@ -137,19 +137,19 @@
         test("the place of a request that was withdrawn goes to the next in line") {
             val scene = Scene(listOf(backEnd("a")))
             repeat(5) { scene.place() }
-            val first = scene.place(patience = 1.seconds)
-            val second = scene.place(patience = 1.seconds)
-            scene.placement.withdraw(first)
-            scene.placement.ended(TargetId("a"), null, AttemptEnd.ANSWERED, scene.now)
+            val first = scene.place(maxWait = 1.seconds)
+            val second = scene.place(maxWait = 1.seconds)
+            scene.placement.cancelWaiting(first)
+            scene.placement.ended(TargetId("a"), null, AttemptOutcome.ANSWERED, scene.now)
             second.target shouldBe TargetId("a")
         }
 
         test("the customer with less in flight goes first when places are short") {
             val scene = Scene(listOf(backEnd("a")))
             repeat(5) { scene.place(customer = "large") }
-            val large = scene.place(patience = 1.seconds, customer = "large")
-            val small = scene.place(patience = 1.seconds, customer = "small")
-            scene.placement.ended(TargetId("a"), CustomerId("large"), AttemptEnd.ANSWERED, scene.now)
+            val large = scene.place(maxWait = 1.seconds, customer = "large")
+            val small = scene.place(maxWait = 1.seconds, customer = "small")
+            scene.placement.ended(TargetId("a"), CustomerId("large"), AttemptOutcome.ANSWERED, scene.now)
             small.isCompleted shouldBe true
             large.isCompleted shouldBe false
         }
@@ -157,9 +157,9 @@
         test("a request that can still be in time goes before one whose objective has passed") {
             val scene = Scene(listOf(backEnd("a")))
             repeat(5) { scene.place() }
-            val late = scene.place(patience = 1.seconds, isLate = true)
-            val fresh = scene.place(patience = 1.seconds)
-            scene.placement.ended(TargetId("a"), null, AttemptEnd.ANSWERED, scene.now)
+            val late = scene.place(maxWait = 1.seconds, isLate = true)
+            val fresh = scene.place(maxWait = 1.seconds)
+            scene.placement.ended(TargetId("a"), null, AttemptOutcome.ANSWERED, scene.now)
             fresh.isCompleted shouldBe true
             late.isCompleted shouldBe false
         }
@@ -184,8 +184,8 @@
 
         test("homes bind, and all of them") {
             val scene = Scene(listOf(backEnd("a"), backEnd("c", FAR)))
-            scene.place(homes = listOf(setOf(RegionId("far-region")), emptySet())).target shouldBe TargetId("c")
-            val nowhere = scene.place(homes = listOf(setOf(RegionId("far-region")), setOf(RegionId("near-region"))))
+            scene.place(homeRegions = listOf(setOf(RegionId("far-region")), emptySet())).target shouldBe TargetId("c")
+            val nowhere = scene.place(homeRegions = listOf(setOf(RegionId("far-region")), setOf(RegionId("near-region"))))
             nowhere.getCompleted().shouldBeInstanceOf<Placement.Refused>()
         }
 
@@ -194,30 +194,30 @@
             val scene = Scene(listOf(empty))
             scene.place().getCompleted().shouldBeInstanceOf<Placement.Refused>()
             val part = HeldWeights(MODEL, WeightNumber(1), LAYERS - 1)
-            scene.slots.heard(SlotWord(empty.address, empty.born, part, closed = false), scene.now)
+            scene.slots.onGossipReceived(SlotWord(empty.address, empty.born, part, closed = false), scene.now)
             scene.place().getCompleted().shouldBeInstanceOf<Placement.Refused>()
-            scene.slots.heard(SlotWord(empty.address, empty.born, part.copy(layers = LAYERS), closed = false), scene.now)
+            scene.slots.onGossipReceived(SlotWord(empty.address, empty.born, part.copy(layers = LAYERS), closed = false), scene.now)
             scene.place().target shouldBe TargetId("a")
         }
 
         test("the word about an earlier life of a back end doesn't count") {
             val restarted = backEnd("a", number = null, born = 2)
             val scene = Scene(listOf(restarted))
-            scene.slots.heard(SlotWord(restarted.address, 1, HeldWeights(MODEL, WeightNumber(1), LAYERS), closed = false), scene.now)
+            scene.slots.onGossipReceived(SlotWord(restarted.address, 1, HeldWeights(MODEL, WeightNumber(1), LAYERS), closed = false), scene.now)
             scene.place().getCompleted().shouldBeInstanceOf<Placement.Refused>()
         }
 
         test("a back end whose daemon speaks of a later life at its address gets nothing") {
             val replaced = backEnd("a", born = 1)
             val scene = Scene(listOf(replaced, backEnd("b")))
-            scene.slots.heard(SlotWord(replaced.address, 2, null, closed = false), scene.now)
+            scene.slots.onGossipReceived(SlotWord(replaced.address, 2, null, closed = false), scene.now)
             (1..3).map { scene.place().target }.toSet() shouldBe setOf(TargetId("b"))
         }
 
         test("a back end that loads gets nothing") {
             val scene = Scene(listOf(backEnd("a"), backEnd("b")))
             val loading = backEnd("a")
-            scene.slots.heard(SlotWord(loading.address, loading.born, loading.weights, closed = true), scene.now)
+            scene.slots.onGossipReceived(SlotWord(loading.address, loading.born, loading.weights, closed = true), scene.now)
             (1..3).map { scene.place().target }.toSet() shouldBe setOf(TargetId("b"))
         }
 
@@ -226,7 +226,7 @@
             scene.declare(2)
             val before = (1..6).map { scene.place().target.shouldNotBeNull() }
             before.toSet() shouldBe setOf(TargetId("old"), TargetId("new"))
-            before.forEach { scene.placement.ended(it, null, AttemptEnd.ANSWERED, scene.now) }
+            before.forEach { scene.placement.ended(it, null, AttemptOutcome.ANSWERED, scene.now) }
             scene.now += 7.3.seconds
             repeat(3) {
                 val placed = scene.place().getCompleted().shouldBeInstanceOf<Placement.Placed>()
@@ -269,11 +269,11 @@
             val sent =
                 (1..entries).map { self ->
                     val scene = Scene(listOf(backEnd("a")), cold = 28.0)
-                    (1..entries).filter { it != self }.forEach { scene.peers.heard(peer("entry-$it"), emptyMap(), 10.seconds) }
+                    (1..entries).filter { it != self }.forEach { scene.peers.onGossipReceived(peer("entry-$it"), emptyMap(), 10.seconds) }
                     scene.peers.entryCount(10.seconds)
                     (1..200).count {
                         val placed = scene.place().getCompleted() is Placement.Placed
-                        if (placed) scene.placement.ended(TargetId("a"), null, AttemptEnd.ANSWERED, scene.now)
+                        if (placed) scene.placement.ended(TargetId("a"), null, AttemptOutcome.ANSWERED, scene.now)
                         placed
                     }
                 }
@@ -283,12 +283,12 @@
         test("failures in a row set a back end aside, and an answer ends that") {
             val scene = Scene(listOf(backEnd("a"), backEnd("b")))
             repeat(3) {
-                scene.place(passedOver = setOf(TargetId("b")))
-                scene.placement.ended(TargetId("a"), null, AttemptEnd.FAILED, scene.now)
+                scene.place(excluded = setOf(TargetId("b")))
+                scene.placement.ended(TargetId("a"), null, AttemptOutcome.FAILED, scene.now)
             }
             scene.place().target shouldBe TargetId("b")
             scene.place().target shouldBe TargetId("b")
             scene.now += 10.seconds
-            scene.place(passedOver = setOf(TargetId("b"))).target shouldBe TargetId("a")
+            scene.place(excluded = setOf(TargetId("b"))).target shouldBe TargetId("a")
         }
     })
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/DaemonCore.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/DaemonCore.kt
@@ -13,8 +13,8 @@
 import lagoonrudder.control.ConfigurationController
 import lagoonrudder.control.ControlThread
 import lagoonrudder.control.MembershipController
-import lagoonrudder.control.ServiceController
-import lagoonrudder.control.SpreadController
+import lagoonrudder.control.ServingController
+import lagoonrudder.control.DisseminationController
 import lagoonrudder.daemon.observe.DaemonMetrics
 import lagoonrudder.daemon.observe.EventLog
 import lagoonrudder.daemon.platform.ConfigurationService
@@ -36,14 +36,14 @@
     val log = EventLog(settings.name.text)
     val invariants =
         Invariants { violation ->
-            log.violated(violation)
+            log.invariantViolated(violation)
             options.onViolation(violation)
         }
     val thread = ControlThread.start(settings.name.text, clock, invariants)
     val configuration = ConfigurationController(invariants)
     val membership = MembershipController(settings.name)
-    val spread = SpreadController(settings.name, options.spread, random)
-    val service = ServiceController(settings.domain, settings.slot?.target)
+    val spread = DisseminationController(settings.name, options.spread, random)
+    val service = ServingController(settings.domain, settings.slot?.target)
     val metrics = DaemonMetrics(thread, invariants)
     val rpc = RpcClient()
     val platform = ConfigurationService(http, settings.platform.configuration)
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/DaemonOptions.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/DaemonOptions.kt
@@ -4,13 +4,13 @@
 package lagoonrudder.daemon
 
 import io.ktor.client.HttpClient
-import lagoonrudder.control.ChoicePolicy
+import lagoonrudder.control.LoadBalancingPolicy
 import lagoonrudder.control.LimitPolicy
 import lagoonrudder.control.QueuePolicy
-import lagoonrudder.control.ReaderMemoryPolicy
-import lagoonrudder.control.RepeatPolicy
+import lagoonrudder.control.ResponseBufferPolicy
+import lagoonrudder.control.IdempotencyPolicy
 import lagoonrudder.control.SourcePolicy
-import lagoonrudder.control.SpreadPolicy
+import lagoonrudder.control.DisseminationPolicy
 import lagoonrudder.model.Clock
 import lagoonrudder.model.SystemClock
 import lagoonrudder.model.Violation
@@ -24,17 +24,17 @@
 class DaemonOptions {
     var clock: Clock = SystemClock()
     var seed: Long = System.nanoTime()
-    var choice: ChoicePolicy = ChoicePolicy.FreshRoom()
+    var choice: LoadBalancingPolicy = LoadBalancingPolicy.FreshRoom()
     var queue: QueuePolicy = QueuePolicy.WeightedFair
     var limit: LimitPolicy = LimitPolicy.Adaptive()
     var sources: SourcePolicy = SourcePolicy.Striped
-    var spread: SpreadPolicy = SpreadPolicy.Tree()
-    var repeats: RepeatPolicy = RepeatPolicy()
+    var spread: DisseminationPolicy = DisseminationPolicy.Tree()
+    var repeats: IdempotencyPolicy = IdempotencyPolicy()
     var send: SendLimits = SendLimits()
     var engine: EngineLimits = EngineLimits()
 
     /** Takes the place of the reader memory in the settings when it is set. */
-    var readers: ReaderMemoryPolicy? = null
+    var readers: ResponseBufferPolicy? = null
 
     /** A client to share between daemons of one process; each has its own when this is null. */
     var http: HttpClient? = null
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/PeerEnd.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/PeerRpcHandler.kt
@@ -3,7 +3,7 @@
  */
 package lagoonrudder.daemon
 
-import lagoonrudder.daemon.configuration.ConfigurationLoop
+import lagoonrudder.daemon.configuration.ConfigurationSyncLoop
 import lagoonrudder.wire.messages.ChunkMessage
 import lagoonrudder.wire.messages.ChunkReply
 import lagoonrudder.wire.messages.ChunkState
@@ -18,8 +18,8 @@
     suspend fun chunk(message: ChunkMessage): ChunkReply
 }
 
-class PeerEnd(
-    private val configuration: ConfigurationLoop,
+class PeerRpcHandler(
+    private val configuration: ConfigurationSyncLoop,
     private val chunks: ChunkService = ChunkService { ChunkReply(ChunkState.NOT_HERE) },
 ) : PeerService {
     override suspend fun exchange(message: ExchangeMessage): ExchangeReply = configuration.answer(message)
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/backend/HttpBackEnd.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/backend/HttpBackEnd.kt
@@ -38,8 +38,8 @@
 import lagoonrudder.control.EngineRole
 import lagoonrudder.control.EngineState
 import lagoonrudder.control.OrderResult
-import lagoonrudder.control.RecordedAnswer
-import lagoonrudder.daemon.platform.guarded
+import lagoonrudder.control.RecordedResponse
+import lagoonrudder.daemon.platform.callWithTimeout
 import lagoonrudder.daemon.platform.read
 import lagoonrudder.daemon.platform.transportFailure
 import lagoonrudder.model.Address
@@ -53,7 +53,7 @@
 import lagoonrudder.model.Step
 import lagoonrudder.model.VersionId
 import lagoonrudder.traffic.Work
-import lagoonrudder.traffic.target.BackEnd
+import lagoonrudder.traffic.target.LocalBackEnd
 import lagoonrudder.traffic.target.EngineEvent
 import lagoonrudder.traffic.target.GenerateRequest
 import kotlin.time.Duration
@@ -61,7 +61,7 @@
 class HttpBackEnd(
     private val client: HttpClient,
     private val address: Address,
-) : BackEnd {
+) : LocalBackEnd {
     private val peer = Peer(PeerRole.ENGINE, address.toString())
     private val root = "http://$address"
 
@@ -76,8 +76,8 @@
         work: Work.Plain,
         request: RequestId,
         limit: Duration,
-    ): Either<Failure, RecordedAnswer> =
-        guarded(Step.RUN, peer, limit) {
+    ): Either<Failure, RecordedResponse> =
+        callWithTimeout(Step.RUN, peer, limit) {
             val call =
                 client.prepareRequest {
                     method = HttpMethod.parse(work.method)
@@ -98,7 +98,7 @@
         limit: Duration,
     ): OrderResult {
         val answer =
-            guarded(Step.ORDER_ENGINE, peer, limit) {
+            callWithTimeout(Step.ORDER_ENGINE, peer, limit) {
                 val call = client.preparePost("$root/orders") { json(engineJson.encodeToString(OrderJson.serializer(), jsonOf(order))) }
                 call.execute { response -> orderResult(response).right() }
             }
@@ -111,7 +111,7 @@
         bytes: ByteArray,
         limit: Duration,
     ): Either<Failure, Unit> =
-        guarded(Step.DRAW_CHUNK, peer, limit) {
+        callWithTimeout(Step.DRAW_CHUNK, peer, limit) {
             val call = client.preparePut("$root/weights/${version.text}/${chunk.number}") { setBody(bytes) }
             call.execute { response -> if (response.status == HttpStatusCode.OK) Unit.right() else declined(response).left() }
         }
@@ -138,11 +138,11 @@
             event?.right() ?: Failure.Damaged(Step.RUN, peer, "a line without content").left()
         }
 
-    private suspend fun plainAnswer(response: HttpResponse): Either<Failure, RecordedAnswer> {
+    private suspend fun plainAnswer(response: HttpResponse): Either<Failure, RecordedResponse> {
         val notRun = response.headers[NOT_RUN_HEADER] == "yes"
         if (notRun) return declined(response).left()
         val type = response.contentType()?.toString() ?: "application/octet-stream"
-        return RecordedAnswer(response.status.value, type, response.readRawBytes()).right()
+        return RecordedResponse(response.status.value, type, response.readRawBytes()).right()
     }
 
     private fun declined(response: HttpResponse) = Failure.Declined(Step.RUN, peer, "status ${response.status.value}")
