--- a/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationSyncLoop.kt
@@ -25,29 +25,29 @@
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedChanges
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.SnapshotDelta
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.wire.documents.SealedHead
 import lagoonrudder.wire.documents.readHead
 import lagoonrudder.wire.documents.readParts
-import lagoonrudder.wire.documents.readWhole
+import lagoonrudder.wire.documents.readSet
 import lagoonrudder.wire.documents.writeChanges
-import lagoonrudder.wire.documents.writeWhole
+import lagoonrudder.wire.documents.writeSet
 import lagoonrudder.wire.messages.ExchangeMessage
 import lagoonrudder.wire.messages.ExchangeReply
 import lagoonrudder.wire.messages.OfferMessage
 import lagoonrudder.wire.messages.OfferReply
 import lagoonrudder.wire.messages.toMessage
-import lagoonrudder.wire.rpc.ExchangeAnswer
+import lagoonrudder.wire.rpc.ExchangeResult
 import java.util.concurrent.ConcurrentHashMap
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** [changed] runs on the control thread whenever a set came into force or the list of instances changed. */
-class ConfigurationLoop(
+/** [onChange] runs on the control thread whenever a set came into force or the list of instances changed. */
+class ConfigurationSyncLoop(
     private val core: DaemonCore,
-    private val changed: () -> Unit,
+    private val onChange: () -> Unit,
 ) {
     private val domain = core.settings.domain
     private var headGeneration = 0L
@@ -78,7 +78,7 @@
         val revision =
             core.thread.decide {
                 core.configuration.confirm()
-                changed()
+                onChange()
                 core.configuration.current.revision
             }
         core.log.info("configuration-confirmed", "revision" to revision.number)
@@ -87,13 +87,13 @@
     /** A peer passed a set on. */
     suspend fun take(message: OfferMessage): OfferReply {
         val peer = Peer(PeerRole.ENTRY, message.sender)
-        if (message.whole) {
+        if (message.full) {
             offerWholeText(message.text, peer)
             return OfferReply()
         }
         val head = readHead(message.text, peer).getOrElse { return reject(it) }
-        val changes = head.changes ?: return OfferReply(wholeNeeded = true)
-        return OfferReply(wholeNeeded = !offerChanges(changes, peer))
+        val changes = head.changes ?: return OfferReply(needsFullSet = true)
+        return OfferReply(needsFullSet = !offerChanges(changes, peer))
     }
 
     /** A peer says what it has and is told what is newer here. */
@@ -112,8 +112,8 @@
 
     /** What this process has and what a peer lacks of it. */
     private data class Known(
-        val set: SealedSet,
-        val changes: SealedChanges?,
+        val set: ObjectSnapshot,
+        val changes: SnapshotDelta?,
         val instances: InstanceChanges?,
     )
 
@@ -128,17 +128,17 @@
     )
 
     private fun isNewer(
-        current: SealedSet,
+        current: ObjectSnapshot,
         revision: Revision,
         digest: Digest,
     ): Boolean = current.revision > revision || (current.revision == revision && revision > Revision.NONE && current.digest > digest)
 
     private fun offerMessage(
-        current: SealedSet,
-        changes: SealedChanges?,
+        current: ObjectSnapshot,
+        changes: SnapshotDelta?,
     ): OfferMessage {
         val sender = core.settings.name.text
-        return if (changes == null) OfferMessage(sender, true, writeWhole(current)) else OfferMessage(sender, false, writeChanges(changes))
+        return if (changes == null) OfferMessage(sender, true, writeSet(current)) else OfferMessage(sender, false, writeChanges(changes))
     }
 
     /** Runs [watch] over and over while this daemon is a watcher, with pauses that grow while it fails. */
@@ -178,7 +178,7 @@
     }
 
     private suspend fun isWatcher(): Boolean =
-        core.thread.decide { core.spread.watches(core.membership.live(domain, core.clock.elapsed())) }
+        core.thread.decide { core.spread.shouldWatch(core.membership.liveDaemons(domain, core.clock.elapsed())) }
 
     private suspend fun askPlatform(limit: Duration) {
         core.platform.head(limit).fold({ core.log.failure("configuration-read-failed", it) }) { value ->
@@ -196,7 +196,7 @@
         instances: List<Instance>,
         generation: Long,
     ) {
-        core.thread.decide { if (core.membership.replaceList(instances, generation)) changed() }
+        core.thread.decide { if (core.membership.replaceList(instances, generation)) onChange() }
     }
 
     /** Takes a head from the platform; false when it must be read again. */
@@ -223,12 +223,12 @@
         text: String,
         peer: Peer,
     ) {
-        readWhole(text, peer).fold({ reject(it) }) { offerWhole(it, peer) }
+        readSet(text, peer).fold({ reject(it) }) { offerWhole(it, peer) }
     }
 
     /** Offers changes; false when the whole set is needed. */
     private suspend fun offerChanges(
-        changes: SealedChanges,
+        changes: SnapshotDelta,
         peer: Peer,
     ): Boolean {
         val current = core.thread.decide { core.configuration.current }
@@ -237,32 +237,32 @@
         if (!startsFrom(changes, current)) return false
         val checked = CheckedSet.ofChanges(changes, current, peer).getOrElse { return true.also { _ -> reject(it) } }
         return when (put(checked)) {
-            ConfigurationOutcome.BaseMoved -> offerChanges(changes, peer)
+            ConfigurationOutcome.BaseChanged -> offerChanges(changes, peer)
             else -> true
         }
     }
 
     private suspend fun offerWhole(
-        offered: SealedSet,
+        offered: ObjectSnapshot,
         peer: Peer,
     ) {
         val current = core.thread.decide { core.configuration.current }
         if (offered.revision < current.revision) return
-        val checked = CheckedSet.ofWhole(offered, current, peer).getOrElse { return reject(it).let { } }
-        if (put(checked) is ConfigurationOutcome.BaseMoved) offerWhole(offered, peer)
+        val checked = CheckedSet.ofFullSet(offered, current, peer).getOrElse { return reject(it).let { } }
+        if (put(checked) is ConfigurationOutcome.BaseChanged) offerWhole(offered, peer)
     }
 
     private suspend fun put(checked: CheckedSet): ConfigurationOutcome {
         val outcome =
             core.thread.decide {
                 val outcome = core.configuration.offer(checked)
-                if (outcome is ConfigurationOutcome.Accepted) changed()
+                if (outcome is ConfigurationOutcome.Accepted) onChange()
                 outcome
             }
         when (outcome) {
             is ConfigurationOutcome.Accepted -> accepted(outcome, checked.peer)
-            is ConfigurationOutcome.Superseded -> if (outcome.twin) alarm(checked)
-            ConfigurationOutcome.Known, ConfigurationOutcome.BaseMoved -> Unit
+            is ConfigurationOutcome.Superseded -> if (outcome.conflicting) alarm(checked)
+            ConfigurationOutcome.Known, ConfigurationOutcome.BaseChanged -> Unit
         }
         return outcome
     }
@@ -274,7 +274,7 @@
         val revision = outcome.set.revision
         core.metrics.count("configuration.accepted", "accepted")
         core.log.info("configuration-accepted", "revision" to revision.number, "digest" to outcome.set.digest.hexadecimal, "peer" to peer)
-        if (outcome.replacedTwin) core.log.error("configuration-twins", "revision" to revision.number, "peer" to peer, "kept" to "offered")
+        if (outcome.wonConflict) core.log.error("configuration-twins", "revision" to revision.number, "peer" to peer, "kept" to "offered")
         core.scope.launch { passOn(outcome) }
     }
 
@@ -284,7 +284,7 @@
     }
 
     private suspend fun reject(failure: Failure): OfferReply {
-        core.thread.decide { core.configuration.rejected() }
+        core.thread.decide { core.configuration.onRejected() }
         core.metrics.count("configuration.rejected", failure.step.name.lowercase())
         core.log.failure("configuration-rejected", failure)
         return OfferReply()
@@ -294,7 +294,7 @@
         val children =
             core.thread.decide {
                 core.spread
-                    .children(outcome.set.revision, core.membership.live(domain, core.clock.elapsed()))
+                    .children(outcome.set.revision, core.membership.liveDaemons(domain, core.clock.elapsed()))
                     .mapNotNull(core.membership::instance)
             }
         if (children.isEmpty()) return
@@ -305,11 +305,11 @@
     private suspend fun pass(
         child: Instance,
         message: OfferMessage,
-        set: SealedSet,
+        set: ObjectSnapshot,
     ) {
         val reply = core.rpc.offer(child.address, message, OFFER_LIMIT)
-        val wholeNeeded = reply.fold({ unheard(child.daemon, it) }, { it.wholeNeeded })
-        if (wholeNeeded) core.rpc.offer(child.address, OfferMessage(core.settings.name.text, true, writeWhole(set)), OFFER_LIMIT)
+        val needsFullSet = reply.fold({ unheard(child.daemon, it) }, { it.needsFullSet })
+        if (needsFullSet) core.rpc.offer(child.address, OfferMessage(core.settings.name.text, true, writeSet(set)), OFFER_LIMIT)
     }
 
     private suspend fun unheard(
@@ -338,8 +338,8 @@
     }
 
     private fun peerAtHome(): Instance? {
-        val live = core.membership.live(domain, core.clock.elapsed())
-        return core.spread.exchangePeer(live)?.let(core.membership::instance)
+        val liveDaemons = core.membership.liveDaemons(domain, core.clock.elapsed())
+        return core.spread.exchangePeer(liveDaemons)?.let(core.membership::instance)
     }
 
     private fun peerAbroad(): Instance? =
@@ -377,19 +377,19 @@
     }
 
     private suspend fun takeReply(
-        reply: ExchangeAnswer,
+        reply: ExchangeResult,
         address: Address,
-        own: SealedSet,
+        own: ObjectSnapshot,
     ) {
-        reply.instances?.let { changes -> core.thread.decide { if (core.membership.apply(changes)) changed() } }
+        reply.instances?.let { changes -> core.thread.decide { if (core.membership.apply(changes)) onChange() } }
         val offer = reply.offer
         if (offer != null) {
-            val wholeNeeded = take(offer).wholeNeeded
-            if (wholeNeeded) core.rpc.exchange(address, ExchangeMessage(), OFFER_LIMIT).onRight { whole -> whole.offer?.let { take(it) } }
+            val needsFullSet = take(offer).needsFullSet
+            if (needsFullSet) core.rpc.exchange(address, ExchangeMessage(), OFFER_LIMIT).onRight { full -> full.offer?.let { take(it) } }
             return
         }
         val peerBehind = isNewer(own, reply.revision, reply.digest)
-        if (peerBehind) core.rpc.offer(address, OfferMessage(core.settings.name.text, true, writeWhole(own)), OFFER_LIMIT)
+        if (peerBehind) core.rpc.offer(address, OfferMessage(core.settings.name.text, true, writeSet(own)), OFFER_LIMIT)
     }
 
     private companion object {
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PieceCache.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/ChunkCache.kt
@@ -15,16 +15,16 @@
 import kotlinx.coroutines.sync.Semaphore
 import kotlinx.coroutines.sync.withPermit
 import lagoonrudder.control.direct.DeclaredWeights
-import lagoonrudder.control.direct.PieceSource
+import lagoonrudder.control.direct.WeightSource
 import lagoonrudder.control.direct.WeightManifest
 import lagoonrudder.model.Failure
 import lagoonrudder.model.ModelId
 import lagoonrudder.model.WeightNumber
 import kotlin.time.Duration.Companion.milliseconds
 
-class PieceCache(
+class ChunkCache(
     private val core: DirectCore,
-    private val sources: PieceSources,
+    private val sources: WeightFetcher,
 ) {
     private data class PieceKey(
         val model: ModelId,
@@ -61,8 +61,8 @@
      * Draws a version that was just declared, before anybody asks for it: an origin that fails soon after has then given
      * part of it. Goes on until the manifest is there or a newer version is declared.
      */
-    suspend fun prepare(declared: DeclaredWeights) {
-        while (core.thread.decide { core.publication.declared(declared.model) } == declared) {
+    suspend fun prefetch(declared: DeclaredWeights) {
+        while (core.thread.decide { core.storeView.declared(declared.model) } == declared) {
             if (manifest(declared.model, declared.number).isRight()) return
             delay(PREPARE_PAUSE)
         }
@@ -75,7 +75,7 @@
         core.scope.launch {
             val led =
                 core.thread.decide {
-                    manifest.digests.indices.filter { core.staging.leads(manifest.model, manifest.number, it, core.clock.elapsed()) }
+                    manifest.digests.indices.filter { core.staging.isPrimarySource(manifest.model, manifest.number, it, core.clock.elapsed()) }
                 }
             core.log.info("drawing-ahead", "number" to manifest.number.number, "pieces" to led.size)
             led.forEach { index -> core.scope.launch { piece(manifest.model, manifest.number, index) } }
@@ -104,7 +104,7 @@
         model: ModelId,
         number: WeightNumber?,
         index: Int,
-    ): List<PieceSource> = core.thread.decide { core.staging.sourcesAbove(model, number, index, core.clock.elapsed()) }
+    ): List<WeightSource> = core.thread.decide { core.staging.upstreamSources(model, number, index, core.clock.elapsed()) }
 
     /** Keeps the pieces of the two newest versions of a model. */
     private fun dropOld(
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectCore.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectCore.kt
@@ -11,15 +11,15 @@
 import lagoonrudder.control.DumpSection
 import lagoonrudder.control.direct.PeerController
 import lagoonrudder.control.direct.PeerDaemon
-import lagoonrudder.control.direct.PublicationChange
-import lagoonrudder.control.direct.PublicationController
-import lagoonrudder.control.direct.SlotController
+import lagoonrudder.control.direct.StoreViewChange
+import lagoonrudder.control.direct.StoreViewController
+import lagoonrudder.control.direct.BackEndStateController
 import lagoonrudder.control.direct.StagingController
-import lagoonrudder.control.direct.SwitchTurns
+import lagoonrudder.control.direct.SwitchSchedule
 import lagoonrudder.daemon.observe.DaemonMetrics
 import lagoonrudder.daemon.observe.EventLog
 import lagoonrudder.http.HttpClient
-import lagoonrudder.http.HttpLoop
+import lagoonrudder.http.HttpEventLoop
 import lagoonrudder.model.Clock
 import lagoonrudder.model.Invariants
 import kotlin.time.Duration.Companion.seconds
@@ -29,25 +29,25 @@
     val clock: Clock,
 ) : AutoCloseable {
     val log = EventLog(settings.name.text)
-    val invariants = Invariants { log.violated(it) }
+    val invariants = Invariants { log.invariantViolated(it) }
     val thread = ControlThread.start(settings.name.text, clock, invariants)
     val metrics = DaemonMetrics(thread, invariants)
-    val loop = HttpLoop("traffic")
+    val loop = HttpEventLoop("traffic")
     val scope =
         CoroutineScope(
             SupervisorJob() + loop.dispatcher +
                 CoroutineExceptionHandler { _, error -> log.error("coroutine-failed", "error" to error.stackTraceToString()) },
         )
     val http = HttpClient(loop, clock)
-    val publication = PublicationController(invariants, settings.bounds.placement.versionLimit - UNKNOWN_AGE_LEFT)
+    val storeView = StoreViewController(invariants, settings.bounds.placement.versionLimit - UNKNOWN_AGE_LEFT)
     val self = PeerDaemon(settings.name, settings.role, settings.domain, settings.region, settings.listen?.peers)
     val peers = PeerController(self, settings.seeds)
-    val slots = SlotController()
-    val staging = StagingController(peers, publication, SwitchTurns(publication), settings.regions)
+    val slots = BackEndStateController()
+    val staging = StagingController(peers, storeView, SwitchSchedule(storeView), settings.regions)
 
     /** Logs what changed in what this process believes. */
     fun logChange(
-        change: PublicationChange,
+        change: StoreViewChange,
         source: String,
         at: Long,
     ) {
@@ -79,7 +79,7 @@
                 "at" to at,
             )
         }
-        (change.joined + change.changed).forEach {
+        (change.added + change.changed).forEach {
             log.info(
                 "back-end-listed",
                 "target" to it.id.text,
@@ -92,20 +92,20 @@
                 "at" to at,
             )
         }
-        change.gone.forEach { log.info("back-end-gone", "target" to it.text, "source" to source, "at" to at) }
+        change.removed.forEach { log.info("back-end-gone", "target" to it.text, "source" to source, "at" to at) }
         change.unusable.forEach { log.warning("item-unusable", "detail" to it, "source" to source, "at" to at) }
     }
 
     /** The state that both roles have, for operators; runs on the control thread. */
-    fun dump(): List<DumpSection> = listOf(publication.dump(), peers.dump(clock.elapsed()), slots.dump(clock.elapsed()))
+    fun dump(): List<DumpSection> = listOf(storeView.dump(), peers.dump(clock.elapsed()), slots.dump(clock.elapsed()))
 
     fun gauges(): Map<String, Number> =
         mapOf(
-            "configuration_revision" to (publication.serving?.revision?.number ?: 0),
-            "store_revision" to publication.at,
-            "confirmed" to if (publication.confirmed) 1 else 0,
-            "back_ends" to publication.backEnds.size,
-            "back_ends_leaving" to publication.backEnds.count { it.leaving },
+            "configuration_revision" to (storeView.serving?.revision?.number ?: 0),
+            "store_revision" to storeView.at,
+            "confirmed" to if (storeView.confirmed) 1 else 0,
+            "back_ends" to storeView.backEnds.size,
+            "back_ends_leaving" to storeView.backEnds.count { it.leaving },
             "peers_alive" to peers.liveEntries(clock.elapsed()).size,
         )
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectDaemon.kt
@@ -11,8 +11,8 @@
 ) {
     abstract suspend fun start()
 
-    protected fun serveOperators(view: DirectView) {
-        HttpServer.start(core.loop, core.scope, core.settings.operators, { HttpServer.PEER_LIMITS }, OperatorEnd(core, view))
+    protected fun serveOperators(view: DirectDiagnostics) {
+        HttpServer.start(core.loop, core.scope, core.settings.operators, { HttpServer.PEER_LIMITS }, OperatorRequestHandler(core, view))
     }
 
     /** Takes no new work, finishes what is in hand, and returns within the grace of the settings. */
@@ -22,6 +22,6 @@
 /** Builds the daemon that the settings of [core] describe. */
 fun directDaemon(core: DirectCore): DirectDaemon =
     when (core.settings.role) {
-        DaemonRole.ENTRY -> DirectEntry(core)
-        DaemonRole.TARGET -> DirectTarget(core)
+        DaemonRole.ENTRY -> DirectEntryDaemon(core)
+        DaemonRole.TARGET -> DirectTargetDaemon(core)
     }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntry.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectEntryDaemon.kt
@@ -9,15 +9,15 @@
 import kotlinx.coroutines.launch
 import lagoonrudder.control.direct.DeclaredWeights
 import lagoonrudder.control.direct.PlacementController
-import lagoonrudder.control.direct.Places
-import lagoonrudder.control.direct.RepeatShare
+import lagoonrudder.control.direct.Topology
+import lagoonrudder.control.direct.RetryBudgetShare
 import lagoonrudder.http.HttpServer
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.TargetId
-import lagoonrudder.platform.BackEndEnd
-import lagoonrudder.platform.CallerEnd
+import lagoonrudder.platform.BackEndHttpClient
+import lagoonrudder.platform.CallerRequestHandler
 import lagoonrudder.platform.DEFAULT_LIMITS
-import lagoonrudder.platform.ReadyEnd
+import lagoonrudder.platform.ReadinessRequestHandler
 import lagoonrudder.traffic.FilterChain
 import lagoonrudder.traffic.direct.DirectCall
 import lagoonrudder.traffic.direct.DirectControl
@@ -26,29 +26,29 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-class DirectEntry(
+class DirectEntryDaemon(
     core: DirectCore,
 ) : DirectDaemon(core),
-    DirectView {
+    DirectDiagnostics {
     private val settings = core.settings
     private val random = Random(System.nanoTime())
     private val placement =
         PlacementController(
-            Places(settings.domain, settings.regions),
+            Topology(settings.domain, settings.regions),
             settings.bounds.placement,
-            core.publication,
+            core.storeView,
             core.peers,
             core.slots,
             random,
         )
     private val control =
-        DirectControl(core.thread, core.clock, core.publication, core.peers, placement, RepeatShare(settings.bounds.repeats))
+        DirectControl(core.thread, core.clock, core.storeView, core.peers, placement, RetryBudgetShare(settings.bounds.retryBudget))
     private val client = PeerClient(core.http)
-    private val store = StoreLoop(core, needed = { true }, changed = ::published)
-    private val peers = PeerLoop(core, client, loads = placement::inFlight, changed = ::published)
-    private val pieces = PieceCache(core, PieceSources(core, client))
-    private val pauses = PauseWatch(core.clock)
-    private var prepared = emptyList<DeclaredWeights>()
+    private val store = StoreSyncLoop(core, isNeeded = { true }, onChange = ::onStoreViewChanged)
+    private val peers = GossipLoop(core, client, loads = placement::inFlight, onChange = ::onStoreViewChanged)
+    private val pieces = ChunkCache(core, WeightFetcher(core, client))
+    private val pauses = PauseDetector(core.clock)
+    private var prefetchedVersions = emptyList<DeclaredWeights>()
     private var callers: HttpServer? = null
 
     @Volatile
@@ -60,11 +60,11 @@
 
     override suspend fun start() {
         val listen = checkNotNull(settings.listen)
-        val chain = FilterChain(directFilters(control, BackEndEnd(core.http), random, ::ended))
-        val endpoint = PeerEndpoint(core, pieces, placement::inFlight, ::published)
+        val chain = FilterChain(directFilters(control, BackEndHttpClient(core.http), random, ::ended))
+        val endpoint = PeerEndpoint(core, pieces, placement::inFlight, ::onStoreViewChanged)
         HttpServer.start(core.loop, core.scope, listen.peers, { HttpServer.PEER_LIMITS }, endpoint)
-        HttpServer.start(core.loop, core.scope, listen.ready, { HttpServer.PEER_LIMITS }, ReadyEnd { ready() })
-        callers = HttpServer.start(core.loop, core.scope, listen.callers, { limits }, CallerEnd(chain, core.clock))
+        HttpServer.start(core.loop, core.scope, listen.ready, { HttpServer.PEER_LIMITS }, ReadinessRequestHandler { ready() })
+        callers = HttpServer.start(core.loop, core.scope, listen.callers, { limits }, CallerRequestHandler(chain, core.clock))
         serveOperators(this)
         core.scope.launch { store.run() }
         core.scope.launch { peers.run() }
@@ -76,27 +76,27 @@
         val started = core.clock.elapsed()
         val server = callers ?: return
         leaving = true
-        core.log.info("leaving", "in-hand" to server.inHand)
+        core.log.info("leaving", "in-hand" to server.activeRequests)
         delay(BALANCER_NOTICES)
-        server.retire()
+        server.drain()
         val last = started + settings.bounds.stopGrace - STOP_MARGIN
         delay(RETIRE_NOTICE)
         // A request that was read just before the process ends would get no answer.
         server.stopReading()
-        while (server.inHand > 0 && core.clock.elapsed() < last) delay(STOP_CHECK)
-        core.log.info("stopped", "in-hand" to server.inHand, "took" to core.clock.elapsed() - started)
+        while (server.activeRequests > 0 && core.clock.elapsed() < last) delay(STOP_CHECK)
+        core.log.info("stopped", "in-hand" to server.activeRequests, "took" to core.clock.elapsed() - started)
     }
 
     /** Something that this process believes has changed; runs on the control thread. */
-    private fun published() {
-        limits = core.publication.serving?.limits ?: DEFAULT_LIMITS
-        control.published()
-        val newest = core.publication.newest
-        (newest - prepared.toSet()).forEach { core.scope.launch { pieces.prepare(it) } }
-        prepared = newest
+    private fun onStoreViewChanged() {
+        limits = core.storeView.serving?.limits ?: DEFAULT_LIMITS
+        control.onStoreViewChanged()
+        val newest = core.storeView.newest
+        (newest - prefetchedVersions.toSet()).forEach { core.scope.launch { pieces.prefetch(it) } }
+        prefetchedVersions = newest
     }
 
-    private suspend fun ready() = !leaving && core.thread.decide { core.publication.confirmed }
+    private suspend fun ready() = !leaving && core.thread.decide { core.storeView.confirmed }
 
     private suspend fun tick() {
         while (currentCoroutineContext().isActive) {
@@ -106,43 +106,43 @@
             gone.forEach { core.log.info("back-end-gone", "target" to it.text, "source" to "lapsed") }
             if (pause != null) {
                 core.log.warning("paused", "for" to pause)
-                core.http.forget(settings.store)
-                store.hurry()
+                core.http.closeIdle(settings.store)
+                store.pollNow()
             }
         }
     }
 
     private fun onTick(pause: Duration?): List<TargetId> {
         val now = core.clock.elapsed()
-        if (pause != null) core.publication.doubt()
-        if (store.isLost) core.publication.disturbed(now)
-        placement.serveLine(now)
-        return core.publication.expire(now)
+        if (pause != null) core.storeView.requireConfirmation()
+        if (store.isLost) core.storeView.onStoreUnavailable(now)
+        placement.dispatchQueued(now)
+        return core.storeView.expire(now)
     }
 
     override fun dump() = core.dump() + placement.dump(core.clock.elapsed())
 
-    override fun gauges() = core.gauges() + mapOf("in_flight" to placement.inFlight().values.sum(), "waiting" to placement.waiting())
+    override fun gauges() = core.gauges() + mapOf("in_flight" to placement.inFlight().values.sum(), "waiting" to placement.queueLength())
 
     private fun ended(
         call: DirectCall,
         outcome: Outcome?,
     ) {
-        val identity = call.identityOrNull
+        val context = call.contextOrNull
         val took = core.clock.elapsed() - call.receivedAt
-        if (outcome == null) core.metrics.callerLeft(took) else core.metrics.requestEnded(outcome, took)
-        call.firstEventAfter?.let { core.metrics.firstEvent(it) }
+        if (outcome == null) core.metrics.recordCallerDisconnect(took) else core.metrics.recordRequest(outcome, took)
+        call.timeToFirstEvent?.let { core.metrics.recordFirstEvent(it) }
         core.log.info(
             "request-ended",
             "request" to call.request.request.text,
-            "route" to identity?.route?.id?.text,
-            "customer" to identity?.customer?.id?.text,
-            "revision" to identity?.revision?.number,
-            "late" to identity?.isLate,
+            "route" to context?.route?.id?.text,
+            "customer" to context?.customer?.id?.text,
+            "revision" to context?.revision?.number,
+            "late" to context?.isLate,
             "outcome" to (outcome?.code ?: "caller-left"),
             "took-ms" to took.inWholeMilliseconds,
-            "first-ms" to call.firstEventAfter?.inWholeMilliseconds,
-            "waited-ms" to call.waited.inWholeMilliseconds,
+            "first-ms" to call.timeToFirstEvent?.inWholeMilliseconds,
+            "waited-ms" to call.queueTime.inWholeMilliseconds,
             "attempts" to call.attempts.joinToString(",") { "${it.target.text}:${it.result}" },
             "detail" to call.lastFailure?.detail,
         )
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectSettings.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectSettings.kt
@@ -7,7 +7,7 @@
 import arrow.core.raise.Raise
 import arrow.core.raise.either
 import lagoonrudder.control.direct.PlacementBounds
-import lagoonrudder.control.direct.RepeatBounds
+import lagoonrudder.control.direct.RetryBudgetBounds
 import lagoonrudder.model.Address
 import lagoonrudder.model.DaemonId
 import lagoonrudder.model.DaemonRole
@@ -25,14 +25,14 @@
 import kotlin.time.Duration
 
 /** Where an entry daemon listens: for callers, for the balancer's question, and for its peers. */
-data class DirectListen(
+data class DirectListenSettings(
     val callers: Address,
     val ready: Address,
     val peers: Address,
 )
 
 /** The back end beside a target daemon. */
-data class DirectSlot(
+data class DirectSlotSettings(
     val service: ServiceId,
     val backEnd: Address,
 )
@@ -40,7 +40,7 @@
 /** [stopGrace] is the time from the stop signal to the end of the process. */
 data class DirectBounds(
     val placement: PlacementBounds,
-    val repeats: RepeatBounds,
+    val retryBudget: RetryBudgetBounds,
     val stopGrace: Duration,
 )
 
@@ -50,11 +50,11 @@
     val domain: DomainId,
     val region: RegionId,
     val regions: Map<DomainId, RegionId>,
-    val listen: DirectListen?,
+    val listen: DirectListenSettings?,
     val operators: Address,
     val seeds: List<Address>,
     val store: Address,
-    val slot: DirectSlot?,
+    val slot: DirectSlotSettings?,
     val bounds: DirectBounds,
 )
 
@@ -66,7 +66,7 @@
     either {
         val sections = readIni(text, file, Step.READ_SETTINGS).bind().associateBy { it.name }
         val daemon = section(sections, file, "daemon")
-        val role = with(daemon) { choice("role", DaemonRole.entries) }
+        val role = with(daemon) { enumValue("role", DaemonRole.entries) }
         DirectSettings(
             name = with(daemon) { DaemonId(text("name")) },
             role = role,
@@ -88,21 +88,21 @@
         )
     }
 
-private fun Raise<Failure.Malformed>.listen(section: IniSection): DirectListen =
-    with(section) { DirectListen(callers = address("callers"), ready = address("ready"), peers = address("peers")) }
+private fun Raise<Failure.Malformed>.listen(section: IniSection): DirectListenSettings =
+    with(section) { DirectListenSettings(callers = address("callers"), ready = address("ready"), peers = address("peers")) }
 
-private fun Raise<Failure.Malformed>.slot(section: IniSection): DirectSlot? =
+private fun Raise<Failure.Malformed>.slot(section: IniSection): DirectSlotSettings? =
     with(section) {
         val backEnd = optionalText("back-end") ?: return null
         val address = addressOrNull(backEnd) ?: raise(malformed("back-end", "expected an IP number and a port, found \"$backEnd\""))
-        DirectSlot(ServiceId(text("service")), address)
+        DirectSlotSettings(ServiceId(text("service")), address)
     }
 
 private fun Raise<Failure.Malformed>.bounds(section: IniSection): DirectBounds =
     with(section) {
         DirectBounds(
             placement = PlacementBounds(duration("version"), double("cold-ratio"), double("cold-allowance")),
-            repeats = RepeatBounds(double("repeat-ratio"), duration("repeat-window"), double("repeat-allowance")),
+            retryBudget = RetryBudgetBounds(double("repeat-ratio"), duration("repeat-window"), double("repeat-allowance")),
             stopGrace = duration("stop-grace"),
         )
     }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectTarget.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectTargetDaemon.kt
@@ -5,20 +5,20 @@
 
 import kotlinx.coroutines.launch
 
-class DirectTarget(
+class DirectTargetDaemon(
     core: DirectCore,
 ) : DirectDaemon(core),
-    DirectView {
+    DirectDiagnostics {
     private val client = PeerClient(core.http)
-    private val peers = PeerLoop(core, client, loads = { emptyMap() }, changed = {})
-    private val store = StoreLoop(core, needed = { !peers.heardLately() || !isConfirmed() }, changed = {})
+    private val peers = GossipLoop(core, client, loads = { emptyMap() }, onChange = {})
+    private val store = StoreSyncLoop(core, isNeeded = { !peers.hasRecentReply() || !isConfirmed() }, onChange = {})
 
     override suspend fun start() {
         val slot = core.settings.slot
         serveOperators(this)
         core.scope.launch { peers.run() }
         core.scope.launch { store.run() }
-        if (slot != null) core.scope.launch { StagingLoop(core, slot, peers, PieceSources(core, client)).run() }
+        if (slot != null) core.scope.launch { StagingLoop(core, slot, peers, WeightFetcher(core, client)).run() }
         core.log.info("started", "role" to "target", "service" to slot?.service?.text, "back-end" to slot?.backEnd)
     }
 
@@ -27,7 +27,7 @@
     }
 
     /** Entry daemons that start beside this one know nothing yet, so the first reading is the store's. */
-    private suspend fun isConfirmed() = core.thread.decide { core.publication.confirmed }
+    private suspend fun isConfirmed() = core.thread.decide { core.storeView.confirmed }
 
     override fun dump() = core.dump()
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/GossipLoop.kt
@@ -16,24 +16,24 @@
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.rendezvousOrder
 import lagoonrudder.platform.readItem
-import lagoonrudder.wire.messages.WordMessage
-import lagoonrudder.wire.messages.WordReply
+import lagoonrudder.wire.messages.GossipMessage
+import lagoonrudder.wire.messages.GossipReply
 import lagoonrudder.wire.messages.toItem
 import lagoonrudder.wire.messages.toLoads
 import lagoonrudder.wire.messages.toMessage
 import lagoonrudder.wire.messages.toMessages
 import lagoonrudder.wire.messages.toPeer
-import lagoonrudder.wire.messages.toSighting
+import lagoonrudder.wire.messages.toLivePeer
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** [loads] is what this process has in flight; [changed] runs on the control thread when a peer brought something new. */
-class PeerLoop(
+/** [loads] is what this process has in flight; [onChange] runs on the control thread when a peer brought something new. */
+class GossipLoop(
     private val core: DirectCore,
     private val client: PeerClient,
     private val loads: () -> Map<TargetId, Int>,
-    private val changed: () -> Unit,
+    private val onChange: () -> Unit,
 ) {
     private val exchanges = mutableMapOf<Address, Job>()
     private var behindSince: Duration? = null
@@ -45,7 +45,7 @@
     var slot: SlotWord? = null
 
     /** Whether any peer has answered lately. */
-    fun heardLately(): Boolean = answeredAt?.let { core.clock.elapsed() - it < HEARD_LATELY } ?: false
+    fun hasRecentReply(): Boolean = answeredAt?.let { core.clock.elapsed() - it < RECENT_REPLY_WINDOW } ?: false
 
     suspend fun run() {
         when (core.self.role) {
@@ -57,15 +57,15 @@
     /** Tells all live entry daemons at once what [slot] says. */
     suspend fun announce() {
         val addresses = core.thread.decide { core.peers.liveEntries(core.clock.elapsed()).mapNotNull { it.address } }
-        addresses.forEach { address -> core.scope.launch { exchange(address, wantsPeers = false) } }
+        addresses.forEach { address -> core.scope.launch { exchange(address, peersRequested = false) } }
     }
 
     private suspend fun exchangeWithAll() {
         while (currentCoroutineContext().isActive) {
-            val partners = core.thread.decide { core.peers.partners(core.clock.elapsed()) }
-            val over = exchanges.keys - partners.toSet()
+            val gossipAddresses = core.thread.decide { core.peers.gossipAddresses(core.clock.elapsed()) }
+            val over = exchanges.keys - gossipAddresses.toSet()
             over.forEach { exchanges.remove(it)?.cancel() }
-            for (partner in partners) exchanges.getOrPut(partner) { core.scope.launch { exchangeRepeatedly(partner) } }
+            for (partner in gossipAddresses) exchanges.getOrPut(partner) { core.scope.launch { exchangeRepeatedly(partner) } }
             nearPartners = core.thread.decide { nearAddresses() }
             delay(PARTNERS_PAUSE)
         }
@@ -75,10 +75,10 @@
         var failures = 0
         var round = 0
         while (currentCoroutineContext().isActive) {
-            val heard = exchange(address, wantsPeers = round++ % PEERS_EVERY == 0)
-            failures = if (heard) 0 else failures + 1
+            val onGossipReceived = exchange(address, peersRequested = round++ % PEERS_EVERY == 0)
+            failures = if (onGossipReceived) 0 else failures + 1
             val pause = if (address in nearPartners) EXCHANGE_PAUSE else FAR_EXCHANGE_PAUSE
-            delay(if (heard) pause else (FAILED_PAUSE * failures).coerceAtMost(LONGEST_PAUSE))
+            delay(if (onGossipReceived) pause else (FAILED_PAUSE * failures).coerceAtMost(LONGEST_PAUSE))
         }
     }
 
@@ -94,9 +94,9 @@
         var failures = 0
         while (currentCoroutineContext().isActive) {
             val candidates = core.thread.decide { candidates() }
-            val heard = candidates.isNotEmpty() && exchange(candidates[failures % candidates.size], wantsPeers = true)
-            if (!heard) failures++
-            delay(if (heard) TARGET_PAUSE else FAILED_PAUSE)
+            val onGossipReceived = candidates.isNotEmpty() && exchange(candidates[failures % candidates.size], peersRequested = true)
+            if (!onGossipReceived) failures++
+            delay(if (onGossipReceived) TARGET_PAUSE else FAILED_PAUSE)
         }
     }
 
@@ -108,9 +108,9 @@
 
     private suspend fun exchange(
         address: Address,
-        wantsPeers: Boolean,
+        peersRequested: Boolean,
     ): Boolean {
-        val message = core.thread.decide { word(wantsPeers) }
+        val message = core.thread.decide { word(peersRequested) }
         return when (val reply = client.word(address, message)) {
             is Either.Left -> false
             is Either.Right -> {
@@ -121,32 +121,32 @@
         }
     }
 
-    private fun word(wantsPeers: Boolean): WordMessage {
+    private fun word(peersRequested: Boolean): GossipMessage {
         val lags = behindSince?.let { core.clock.elapsed() - it > LAG_ALLOWED } ?: false
-        val wantsItems = lags || !core.publication.confirmed || core.self.role == DaemonRole.TARGET
-        return WordMessage(core.self.toMessage(), core.publication.at, wantsItems, loads().toMessages(), slot?.toMessage(), wantsPeers)
+        val itemsRequested = lags || !core.storeView.confirmed || core.self.role == DaemonRole.TARGET
+        return GossipMessage(core.self.toMessage(), core.storeView.at, itemsRequested, loads().toMessages(), slot?.toMessage(), peersRequested)
     }
 
     private suspend fun take(
-        reply: WordReply,
+        reply: GossipReply,
         address: Address,
     ) {
         val items = reply.items.map { readItem(it.toItem()) }
         val change =
             core.thread.decide {
                 val now = core.clock.elapsed()
-                core.peers.heard(reply.self.toPeer(), reply.loads.toLoads(), now)
-                core.peers.sighted(reply.sightings.map { it.toSighting() }, now)
-                val behind = reply.at > core.publication.at
+                core.peers.onGossipReceived(reply.self.toPeer(), reply.loads.toLoads(), now)
+                core.peers.mergeLivePeers(reply.livePeers.map { it.toLivePeer() }, now)
+                val behind = reply.at > core.storeView.at
                 if (!behind) {
                     behindSince = null
                 } else if (behindSince == null) {
                     behindSince = now
                 }
-                val brings = items.isNotEmpty() || (!core.publication.confirmed && core.publication.serving != null && !behind)
+                val brings = items.isNotEmpty() || (!core.storeView.confirmed && core.storeView.serving != null && !behind)
                 if (!brings) return@decide null
                 behindSince = null
-                core.publication.takeSettled(items, reply.at, now).also { changed() }
+                core.storeView.applySettledChanges(items, reply.at, now).also { onChange() }
             }
         if (change != null) core.logChange(change, "peer:$address", reply.at)
     }
@@ -164,7 +164,7 @@
 
         /** The store's own watch brings a change within this time when it is sound. */
         val LAG_ALLOWED = 200.milliseconds
-        val HEARD_LATELY = 2.seconds
+        val RECENT_REPLY_WINDOW = 2.seconds
         const val PEERS_EVERY = 4
     }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/OperatorEnd.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/OperatorRequestHandler.kt
@@ -10,16 +10,16 @@
 import lagoonrudder.http.NO_BYTES
 
 /** What a daemon shows of itself; both functions run on the control thread. */
-interface DirectView {
+interface DirectDiagnostics {
     fun dump(): List<DumpSection>
 
     /** Gauges by name. */
     fun gauges(): Map<String, Number>
 }
 
-class OperatorEnd(
+class OperatorRequestHandler(
     private val core: DirectCore,
-    private val view: DirectView,
+    private val view: DirectDiagnostics,
 ) : HttpHandler {
     override suspend fun handle(exchange: HttpExchange) {
         when (exchange.request.target) {
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PauseWatch.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PauseDetector.kt
@@ -10,7 +10,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-class PauseWatch(
+class PauseDetector(
     private val clock: Clock,
 ) {
     private var lastElapsed = clock.elapsed()
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerClient.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerClient.kt
@@ -21,8 +21,8 @@
 import lagoonrudder.model.WeightNumber
 import lagoonrudder.wire.messages.MalformedMessage
 import lagoonrudder.wire.messages.ManifestMessage
-import lagoonrudder.wire.messages.WordMessage
-import lagoonrudder.wire.messages.WordReply
+import lagoonrudder.wire.messages.GossipMessage
+import lagoonrudder.wire.messages.GossipReply
 import lagoonrudder.wire.messages.decodeMessage
 import lagoonrudder.wire.messages.encodeMessage
 import lagoonrudder.wire.messages.toManifest
@@ -31,7 +31,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** The calls that a daemon answers to its peers. */
-object PeerCalls {
+object PeerPaths {
     const val WORD = "/peer/word"
     const val MANIFEST = "/peer/manifest"
     const val PIECE = "/peer/piece"
@@ -40,12 +40,12 @@
 class PeerClient(
     private val http: HttpClient,
 ) {
-    suspend fun word(
+    suspend fun gossip(
         address: Address,
-        message: WordMessage,
-    ): Either<Failure, WordReply> {
-        val request = HttpRequest("POST", PeerCalls.WORD, emptyList(), encodeMessage(WordMessage.serializer(), message))
-        return call(address, request, WORD_LIMIT).flatMap { decoded(address, WordReply.serializer(), it) }
+        message: GossipMessage,
+    ): Either<Failure, GossipReply> {
+        val request = HttpRequest("POST", PeerPaths.WORD, emptyList(), encodeMessage(GossipMessage.serializer(), message))
+        return call(address, request, WORD_LIMIT).flatMap { decoded(address, GossipReply.serializer(), it) }
     }
 
     suspend fun manifest(
@@ -53,7 +53,7 @@
         model: ModelId,
         number: WeightNumber?,
     ): Either<Failure, WeightManifest> {
-        val request = HttpRequest("GET", "${PeerCalls.MANIFEST}/${model.text}/${number?.number ?: 0}", emptyList())
+        val request = HttpRequest("GET", "${PeerPaths.MANIFEST}/${model.text}/${number?.number ?: 0}", emptyList())
         return call(address, request, PIECE_LIMIT).flatMap { decoded(address, ManifestMessage.serializer(), it) }.map { it.toManifest() }
     }
 
@@ -65,7 +65,7 @@
     ): Either<Failure, ByteArray> =
         call(
             address,
-            HttpRequest("GET", "${PeerCalls.PIECE}/${model.text}/${number.number}/$index", emptyList()),
+            HttpRequest("GET", "${PeerPaths.PIECE}/${model.text}/${number.number}/$index", emptyList()),
             PIECE_LIMIT,
         ).map { it.body }
 
@@ -79,7 +79,7 @@
             http.exchange(address, request, peer, limit).flatMap {
                 if (it.head.status == OK) it.right() else Failure.Declined(Step.SEND, peer, "status ${it.head.status}").left()
             }
-        if (result is Either.Left && result.value is Failure.TimedOut) http.forget(address)
+        if (result is Either.Left && result.value is Failure.TimedOut) http.closeIdle(address)
         return result
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerEndpoint.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerEndpoint.kt
@@ -13,19 +13,19 @@
 import lagoonrudder.model.WeightNumber
 import lagoonrudder.wire.messages.MalformedMessage
 import lagoonrudder.wire.messages.ManifestMessage
-import lagoonrudder.wire.messages.WordMessage
-import lagoonrudder.wire.messages.WordReply
+import lagoonrudder.wire.messages.GossipMessage
+import lagoonrudder.wire.messages.GossipReply
 import lagoonrudder.wire.messages.decodeMessage
 import lagoonrudder.wire.messages.encodeMessage
 import lagoonrudder.wire.messages.toLoads
 import lagoonrudder.wire.messages.toMessage
 import lagoonrudder.wire.messages.toMessages
 import lagoonrudder.wire.messages.toPeer
-import lagoonrudder.wire.messages.toWord
+import lagoonrudder.wire.messages.toSlotWord
 
 class PeerEndpoint(
     private val core: DirectCore,
-    private val pieces: PieceCache,
+    private val pieces: ChunkCache,
     private val loads: () -> Map<TargetId, Int>,
     private val slotChanged: () -> Unit,
 ) : HttpHandler {
@@ -36,9 +36,9 @@
                 .drop(1)
         val call = "/" + parts.take(2).joinToString("/")
         when {
-            call == PeerCalls.WORD -> word(exchange)
-            call == PeerCalls.MANIFEST && parts.size == MANIFEST_PARTS -> manifest(exchange, parts)
-            call == PeerCalls.PIECE && parts.size == PIECE_PARTS -> piece(exchange, parts)
+            call == PeerPaths.WORD -> word(exchange)
+            call == PeerPaths.MANIFEST && parts.size == MANIFEST_PARTS -> manifest(exchange, parts)
+            call == PeerPaths.PIECE && parts.size == PIECE_PARTS -> piece(exchange, parts)
             else -> exchange.respond(NOT_FOUND, emptyList(), NO_BYTES)
         }
     }
@@ -46,21 +46,21 @@
     private suspend fun word(exchange: HttpExchange) {
         val message =
             try {
-                decodeMessage(WordMessage.serializer(), exchange.request.body)
+                decodeMessage(GossipMessage.serializer(), exchange.request.body)
             } catch (malformed: MalformedMessage) {
                 core.log.warning("word-malformed", "detail" to malformed.message)
                 exchange.respond(BAD_REQUEST, emptyList(), NO_BYTES)
                 return
             }
         val reply = core.thread.decide { answer(message) }
-        exchange.respond(OK, emptyList(), encodeMessage(WordReply.serializer(), reply))
+        exchange.respond(OK, emptyList(), encodeMessage(GossipReply.serializer(), reply))
     }
 
-    private fun answer(message: WordMessage): WordReply {
+    private fun answer(message: GossipMessage): GossipReply {
         val now = core.clock.elapsed()
-        core.peers.heard(message.self.toPeer(), message.loads.toLoads(), now)
-        val word = message.slot?.toWord()
-        if (word != null && core.slots.heard(word, now)) {
+        core.peers.onGossipReceived(message.self.toPeer(), message.loads.toLoads(), now)
+        val word = message.slot?.toSlotWord()
+        if (word != null && core.slots.onGossipReceived(word, now)) {
             core.log.info(
                 "slot-heard",
                 "back-end" to word.backEnd,
@@ -70,12 +70,12 @@
             )
             slotChanged()
         }
-        return WordReply(
+        return GossipReply(
             self = core.self.toMessage(),
-            at = core.publication.settledAt,
+            at = core.storeView.settledRevision,
             loads = loads().toMessages(),
-            sightings = if (message.wantsPeers) core.peers.sightings(now).map { it.toMessage() } else emptyList(),
-            items = if (message.wantsItems) core.publication.changesSince(message.at).map { it.toMessage() } else emptyList(),
+            livePeers = if (message.peersRequested) core.peers.livePeers(now).map { it.toMessage() } else emptyList(),
+            items = if (message.itemsRequested) core.storeView.changesSince(message.at).map { it.toMessage() } else emptyList(),
         )
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StagingLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StagingLoop.kt
@@ -17,24 +17,24 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import lagoonrudder.control.direct.BackEndReport
 import lagoonrudder.control.direct.Handover
-import lagoonrudder.control.direct.OrderAnswer
+import lagoonrudder.control.direct.OrderResponse
 import lagoonrudder.control.direct.SlotWord
-import lagoonrudder.control.direct.SwitchTurn
-import lagoonrudder.control.direct.WantedWeights
+import lagoonrudder.control.direct.ScheduledSwitch
+import lagoonrudder.control.direct.WeightsToLoad
 import lagoonrudder.control.direct.WeightManifest
 import lagoonrudder.model.WeightNumber
 import lagoonrudder.model.digestOf
-import lagoonrudder.platform.SlotCalls
+import lagoonrudder.platform.SlotClient
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
 class StagingLoop(
     private val core: DirectCore,
-    private val slot: DirectSlot,
-    private val peers: PeerLoop,
-    private val sources: PieceSources,
+    private val slot: DirectSlotSettings,
+    private val peers: GossipLoop,
+    private val sources: WeightFetcher,
 ) {
-    private val backEnd = SlotCalls(core.http, slot.backEnd)
+    private val backEnd = SlotClient(core.http, slot.backEnd)
     private var manifest: WeightManifest? = null
     private val sound = mutableSetOf<Int>()
     private var verifiedAt: Duration? = null
@@ -44,8 +44,8 @@
     suspend fun run() {
         while (currentCoroutineContext().isActive) {
             val report = report()
-            val wanted = report?.let { core.thread.decide { core.staging.wanted(slot.service, it) } }
-            if (wanted == null || report.loading) delay(IDLE_PAUSE) else bring(wanted, report)
+            val weightsToLoad = report?.let { core.thread.decide { core.staging.weightsToLoad(slot.service, it) } }
+            if (weightsToLoad == null || report.loading) delay(IDLE_PAUSE) else bring(weightsToLoad, report)
         }
     }
 
@@ -86,10 +86,10 @@
     }
 
     private suspend fun bring(
-        wanted: WantedWeights,
+        weightsToLoad: WeightsToLoad,
         report: BackEndReport,
     ) {
-        val manifest = manifestOf(wanted, report)
+        val manifest = manifestOf(weightsToLoad, report)
         if (manifest == null) {
             delay(FAILED_PAUSE)
             return
@@ -100,15 +100,15 @@
     }
 
     private suspend fun manifestOf(
-        wanted: WantedWeights,
+        weightsToLoad: WeightsToLoad,
         report: BackEndReport,
     ): WeightManifest? {
-        val known = manifest?.takeIf { it.model == wanted.model && (wanted.number == null || it.number == wanted.number) }
+        val known = manifest?.takeIf { it.model == weightsToLoad.model && (weightsToLoad.number == null || it.number == weightsToLoad.number) }
         if (known != null) return known
-        val begun = manifest?.takeIf { it.model == wanted.model && it.number > (report.held?.number ?: NONE_HELD) }
+        val begun = manifest?.takeIf { it.model == weightsToLoad.model && it.number > (report.held?.number ?: NONE_HELD) }
         if (begun != null && isStillWanted(begun) && !isOutdated(begun)) return begun
-        val from = core.thread.decide { core.staging.sources(wanted.model, wanted.number, MANIFEST, core.clock.elapsed()) }
-        val drawn = sources.manifest(from, wanted.model, wanted.number).getOrElse { return null }
+        val from = core.thread.decide { core.staging.sources(weightsToLoad.model, weightsToLoad.number, MANIFEST, core.clock.elapsed()) }
+        val drawn = sources.manifest(from, weightsToLoad.model, weightsToLoad.number).getOrElse { return null }
         manifest = drawn
         sound.clear()
         verify(drawn)
@@ -158,7 +158,7 @@
     }
 
     private suspend fun isStillWanted(manifest: WeightManifest): Boolean =
-        core.thread.decide { core.staging.finishes(manifest.model, manifest.number, sound.size, manifest.digests.size) }
+        core.thread.decide { core.staging.shouldFinishStaging(manifest.model, manifest.number, sound.size, manifest.digests.size) }
 
     private suspend fun awaitTurn(
         manifest: WeightManifest,
@@ -166,22 +166,22 @@
     ): Boolean {
         while (isStillWanted(manifest)) {
             if (isOutdated(manifest)) return false
-            val turn = turn(manifest, report) ?: return true
-            val wait = turn.at - core.clock.elapsed()
+            val scheduledSwitch = scheduledSwitch(manifest, report) ?: return true
+            val wait = scheduledSwitch.at - core.clock.elapsed()
             if (wait <= Duration.ZERO) return true
             delay(minOf(wait, TURN_CHECK))
         }
         return false
     }
 
-    private suspend fun turn(
+    private suspend fun scheduledSwitch(
         manifest: WeightManifest,
         report: BackEndReport,
-    ): SwitchTurn? = core.thread.decide { core.staging.turn(slot.service, slot.backEnd, report, manifest.number) }
+    ): ScheduledSwitch? = core.thread.decide { core.staging.scheduledSwitch(slot.service, slot.backEnd, report, manifest.number) }
 
     /** Whether a newer version was declared and can be drawn: then this one is passed over. */
     private suspend fun isOutdated(manifest: WeightManifest): Boolean {
-        val newest = core.thread.decide { core.publication.declared(manifest.model)?.number }
+        val newest = core.thread.decide { core.storeView.declared(manifest.model)?.number }
         if (newest == null || newest <= manifest.number) return false
         val last = manifest.digests.lastIndex
         val from = core.thread.decide { core.staging.sources(manifest.model, newest, last, core.clock.elapsed()) }
@@ -213,7 +213,7 @@
         manifest: WeightManifest,
         before: BackEndReport,
     ) {
-        val handover = turn(manifest, before)?.handover(core.clock.elapsed()) ?: Handover.LET_END
+        val handover = scheduledSwitch(manifest, before)?.handover(core.clock.elapsed()) ?: Handover.DRAIN
         val report = (if (before.held == null) unchanged(before) else close(before, handover)) ?: return
         val ordered = core.clock.elapsed()
         when (val answer = backEnd.start(manifest.model, manifest.number, report.orders, handover)) {
@@ -240,7 +240,7 @@
         while (report.born == before.born && !report.loading) {
             say(SlotWord(slot.backEnd, report.born, report.held, closed = true))
             val waited = core.clock.elapsed() - asked
-            val isEmpty = report.waiting == 0 && (handover == Handover.LET_END || report.running == 0)
+            val isEmpty = report.waiting == 0 && (handover == Handover.DRAIN || report.running == 0)
             if (waited > QUEUE_LIMIT || (isEmpty && waited > NOTICE)) return report
             delay(QUEUE_CHECK)
             report = backEnd.report().getOrElse { return null }
@@ -250,14 +250,14 @@
 
     private fun logOrder(
         manifest: WeightManifest,
-        answer: OrderAnswer,
+        answer: OrderResponse,
         report: BackEndReport,
     ) {
         val fields = arrayOf("number" to manifest.number.number, "orders" to report.orders, "running" to report.running)
         when (answer) {
-            OrderAnswer.Begun -> core.log.info("order-begun", *fields)
-            OrderAnswer.InEffect -> core.log.info("order-in-effect", *fields)
-            is OrderAnswer.Declined -> core.log.warning("order-declined", *fields, "status" to answer.status, "detail" to answer.detail)
+            OrderResponse.Accepted -> core.log.info("order-begun", *fields)
+            OrderResponse.AlreadyApplied -> core.log.info("order-in-effect", *fields)
+            is OrderResponse.Declined -> core.log.warning("order-declined", *fields, "status" to answer.status, "detail" to answer.detail)
         }
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StoreLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StoreSyncLoop.kt
@@ -12,20 +12,20 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.ensureActive
 import kotlinx.coroutines.isActive
-import lagoonrudder.control.direct.PublicationChange
+import lagoonrudder.control.direct.StoreViewChange
 import lagoonrudder.model.Failure
 import lagoonrudder.platform.StoreClient
-import lagoonrudder.platform.StoreWatch
+import lagoonrudder.platform.StoreWatchResult
 import lagoonrudder.platform.readItem
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** [needed] tells whether the store is to be asked now; [changed] runs on the control thread after each answer. */
-class StoreLoop(
+/** [isNeeded] tells whether the store is to be asked now; [onChange] runs on the control thread after each answer. */
+class StoreSyncLoop(
     private val core: DirectCore,
-    private val needed: suspend () -> Boolean,
-    private val changed: () -> Unit,
+    private val isNeeded: suspend () -> Boolean,
+    private val onChange: () -> Unit,
 ) {
     private val store = StoreClient(core.http, core.settings.store)
     private var waiting: Job? = null
@@ -37,14 +37,14 @@
     private var failures = 0
 
     /** Asks the store at once instead of going on waiting, for example after a pause. */
-    fun hurry() {
+    fun pollNow() {
         hurried = true
         waiting?.cancel()
     }
 
     suspend fun run() {
         while (currentCoroutineContext().isActive) {
-            if (!needed()) {
+            if (!isNeeded()) {
                 delay(NOT_NEEDED_PAUSE)
                 continue
             }
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Asks once and takes the answer over; null when the wait was cut short by [hurry]. */
+    /** Asks once and takes the answer over; null when the wait was cut short by [pollNow]. */
     private suspend fun ask(): Either<Failure, Unit>? =
         coroutineScope {
             val wait = if (hurried || lostSince != null) Duration.ZERO else WATCH_WAIT
@@ -75,18 +75,18 @@
         store.readAll().map { answer ->
             val items = answer.items.map { readItem(it) }
             readAll = false
-            take { core.publication.takeWhole(items, answer.at, core.clock.elapsed()) }
+            applyChanges { core.storeView.applySnapshot(items, answer.at, core.clock.elapsed()) }
         }
 
     private suspend fun watch(wait: Duration): Either<Failure, Unit> {
-        val after = core.thread.decide { core.publication.at }
+        val after = core.thread.decide { core.storeView.at }
         return store.watch(after, wait).map { watched ->
             when (watched) {
-                is StoreWatch.Changes -> {
+                is StoreWatchResult.Changes -> {
                     val items = watched.answer.items.map { readItem(it) }
-                    take { core.publication.take(items, watched.answer.at, core.clock.elapsed()) }
+                    applyChanges { core.storeView.applyChanges(items, watched.answer.at, core.clock.elapsed()) }
                 }
-                StoreWatch.HistoryLost -> {
+                StoreWatchResult.HistoryLost -> {
                     core.log.warning("store-history-lost", "after" to after)
                     readAll = true
                 }
@@ -94,8 +94,8 @@
         }
     }
 
-    private suspend fun take(action: () -> PublicationChange) {
-        val (change, at) = core.thread.decide { action().also { changed() } to core.publication.at }
+    private suspend fun applyChanges(action: () -> StoreViewChange) {
+        val (change, at) = core.thread.decide { action().also { onChange() } to core.storeView.at }
         core.logChange(change, "store", at)
     }
 
@@ -105,7 +105,7 @@
             lostSince = now
             core.log.failure("store-lost", failure)
         }
-        core.http.forget(core.settings.store)
+        core.http.closeIdle(core.settings.store)
         failures++
         delay((FIRST_PAUSE * failures).coerceAtMost(LONGEST_PAUSE))
     }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PieceSources.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/WeightFetcher.kt
@@ -7,7 +7,7 @@
 import arrow.core.flatMap
 import arrow.core.left
 import arrow.core.right
-import lagoonrudder.control.direct.PieceSource
+import lagoonrudder.control.direct.WeightSource
 import lagoonrudder.control.direct.WeightManifest
 import lagoonrudder.model.Failure
 import lagoonrudder.model.ModelId
@@ -16,35 +16,35 @@
 import lagoonrudder.model.Step
 import lagoonrudder.model.WeightNumber
 import lagoonrudder.model.digestOf
-import lagoonrudder.platform.OriginCalls
+import lagoonrudder.platform.OriginClient
 
-class PieceSources(
+class WeightFetcher(
     private val core: DirectCore,
     private val peers: PeerClient,
 ) {
     suspend fun manifest(
-        sources: List<PieceSource>,
+        sources: List<WeightSource>,
         model: ModelId,
         number: WeightNumber?,
     ): Either<Failure, WeightManifest> =
         first(sources, "manifest ${model.text}") { source ->
             when (source) {
-                is PieceSource.Entry -> peers.manifest(source.address, model, number)
-                is PieceSource.Origin -> OriginCalls(core.http, source.address).manifest(model, number)
+                is WeightSource.Entry -> peers.manifest(source.address, model, number)
+                is WeightSource.Origin -> OriginClient(core.http, source.address).manifest(model, number)
             }
         }
 
     suspend fun piece(
-        sources: List<PieceSource>,
+        sources: List<WeightSource>,
         manifest: WeightManifest,
         index: Int,
     ): Either<Failure, ByteArray> =
         first(sources, "piece $index of ${manifest.number.number}") { source ->
             val drawn =
                 when (source) {
-                    is PieceSource.Entry -> peers.piece(source.address, manifest.model, manifest.number, index)
-                    is PieceSource.Origin ->
-                        OriginCalls(core.http, source.address).piece(manifest.model, manifest.number, index)
+                    is WeightSource.Entry -> peers.piece(source.address, manifest.model, manifest.number, index)
+                    is WeightSource.Origin ->
+                        OriginClient(core.http, source.address).piece(manifest.model, manifest.number, index)
                 }
             drawn.flatMap { bytes ->
                 val sound = digestOf(bytes) == manifest.digests[index]
@@ -62,9 +62,9 @@
         }
 
     private suspend fun <T> first(
-        sources: List<PieceSource>,
+        sources: List<WeightSource>,
         what: String,
-        draw: suspend (PieceSource) -> Either<Failure, T>,
+        draw: suspend (WeightSource) -> Either<Failure, T>,
     ): Either<Failure, T> {
         var failure: Failure = Failure.Unreachable(Step.DRAW_CHUNK, Peer.SELF, "no source for $what")
         for (source in sources) {
@@ -77,9 +77,9 @@
         return failure.left()
     }
 
-    private fun peerOf(source: PieceSource): Peer =
+    private fun peerOf(source: WeightSource): Peer =
         when (source) {
-            is PieceSource.Entry -> Peer(PeerRole.ENTRY, source.address.toString())
-            is PieceSource.Origin -> Peer(PeerRole.ORIGIN, source.address.toString())
+            is WeightSource.Entry -> Peer(PeerRole.ENTRY, source.address.toString())
+            is WeightSource.Origin -> Peer(PeerRole.ORIGIN, source.address.toString())
         }
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/entry/EntryDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/entry/EntryDaemon.kt
@@ -8,25 +8,25 @@
 import kotlinx.coroutines.launch
 import lagoonrudder.control.AdmissionController
 import lagoonrudder.control.DumpSection
-import lagoonrudder.control.ReaderMemoryController
+import lagoonrudder.control.ResponseBufferController
 import lagoonrudder.control.RoutingController
-import lagoonrudder.control.ServiceState
+import lagoonrudder.control.ServingState
 import lagoonrudder.control.UploadController
 import lagoonrudder.daemon.Daemon
 import lagoonrudder.daemon.DaemonAddresses
 import lagoonrudder.daemon.DaemonCore
-import lagoonrudder.daemon.PeerEnd
-import lagoonrudder.daemon.configuration.ConfigurationLoop
-import lagoonrudder.daemon.front.CallerFront
+import lagoonrudder.daemon.PeerRpcHandler
+import lagoonrudder.daemon.configuration.ConfigurationSyncLoop
+import lagoonrudder.daemon.front.CallerServer
 import lagoonrudder.daemon.front.CompletionDecoder
-import lagoonrudder.daemon.operators.DaemonView
+import lagoonrudder.daemon.operators.DaemonDiagnostics
 import lagoonrudder.daemon.operators.OperatorServer
 import lagoonrudder.model.Address
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.RequestId
 import lagoonrudder.traffic.FilterChain
-import lagoonrudder.traffic.entry.AccountFilter
-import lagoonrudder.traffic.entry.AdmitFilter
+import lagoonrudder.traffic.entry.AccountingFilter
+import lagoonrudder.traffic.entry.AdmissionFilter
 import lagoonrudder.traffic.entry.EntryCall
 import lagoonrudder.traffic.entry.EntryControl
 import lagoonrudder.traffic.entry.IdentifyFilter
@@ -42,7 +42,7 @@
 class EntryDaemon(
     override val core: DaemonCore,
 ) : Daemon,
-    DaemonView {
+    DaemonDiagnostics {
     private val settings = core.settings
     private val uploads = UploadController(settings.limits.uploadBytes)
     private val control =
@@ -54,17 +54,17 @@
             membership = core.membership,
             routing = RoutingController(settings.name.text, settings.domain, core.options.choice, core.random),
             admission = AdmissionController(core.options.queue, settings.limits.queue, core.invariants),
-            readers = ReaderMemoryController(core.options.readers ?: settings.limits.readers, core.invariants),
+            readers = ResponseBufferController(core.options.readers ?: settings.limits.readers, core.invariants),
             service = core.service,
         )
-    private val reports = ReportLoop(core, control)
-    private val configuration = ConfigurationLoop(core) { configured() }
-    private val front = CallerFront(core, FilterChain(filters()), uploads, checkNotNull(settings.listen.callers))
+    private val reports = TargetReportLoop(core, control)
+    private val configuration = ConfigurationSyncLoop(core) { configured() }
+    private val front = CallerServer(core, FilterChain(filters()), uploads, checkNotNull(settings.listen.callers))
     private val operators = OperatorServer(core, this)
     private var rpcServer: RpcServer? = null
 
     override suspend fun start(): DaemonAddresses {
-        val rpc = RpcServer.start(settings.listen.rpc, core.scope.coroutineContext, PeerEnd(configuration), null)
+        val rpc = RpcServer.start(settings.listen.rpc, core.scope.coroutineContext, PeerRpcHandler(configuration), null)
         rpcServer = rpc
         val addresses = DaemonAddresses(Address(settings.listen.rpc.host, rpc.port), front.start(), operators.start())
         configuration.start()
@@ -80,8 +80,8 @@
     }
 
     override suspend fun stop() {
-        core.log.info("leaving", "in-hand" to core.thread.decide { core.service.inHand() })
-        core.thread.decide { core.service.leave() }
+        core.log.info("leaving", "in-hand" to core.thread.decide { core.service.active() })
+        core.thread.decide { core.service.beginShutdown() }
         core.service.drained.await()
         core.log.info("stopped")
         close()
@@ -95,11 +95,11 @@
         core.close()
     }
 
-    override fun ready(): Boolean = core.service.state(core.configuration.current.objects, mayServe()) is ServiceState.Serving
+    override fun ready(): Boolean = core.service.state(core.configuration.current.objects, mayServe()) is ServingState.Serving
 
     override fun status(): String =
         "name=${settings.name.text} role=entry domain=${settings.domain.text} ready=${ready()} " +
-            "revision=${core.configuration.current.revision.number} in-hand=${core.service.inHand()} violations=${core.invariants.total()}"
+            "revision=${core.configuration.current.revision.number} in-hand=${core.service.active()} violations=${core.invariants.total()}"
 
     override fun dump(): List<DumpSection> = control.dump() + uploads.dump()
 
@@ -107,7 +107,7 @@
 
     private fun configured() {
         control.configured()
-        reports.match()
+        reports.updateSubscriptions()
     }
 
     private suspend fun tick() {
@@ -129,9 +129,9 @@
 
     private fun filters() =
         entryFilters(
-            account = AccountFilter(control, core.clock, ::ended),
+            account = AccountingFilter(control, core.clock, ::ended),
             identify = IdentifyFilter(control, core.clock, CompletionDecoder) { RequestId(UUID.randomUUID().toString()) },
-            admit = AdmitFilter(control),
+            admit = AdmissionFilter(control),
             relay = RelayFilter(control, core.clock, core.invariants),
             send = SendFilter(control, core.rpc, core.clock, core.options.send),
         )
@@ -141,8 +141,8 @@
         outcome: Outcome,
         took: Duration,
     ) {
-        core.metrics.requestEnded(outcome, took)
-        val request = call.identityOrNull()
+        core.metrics.recordRequest(outcome, took)
+        val request = call.contextOrNull()
         core.log.info(
             "request-ended",
             "request" to request?.request?.text,
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/entry/ReportLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/entry/TargetReportLoop.kt
@@ -24,7 +24,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class ReportLoop(
+class TargetReportLoop(
     private val core: DaemonCore,
     private val control: EntryControl,
 ) {
@@ -36,7 +36,7 @@
     private val streams = mutableMapOf<TargetId, Stream>()
 
     /** Opens and closes streams so that they match the subset; runs on the control thread. */
-    fun match() {
+    fun updateSubscriptions() {
         val daemons = control.membership.targetDaemons()
         val wanted =
             control.routing
@@ -60,7 +60,7 @@
     ) {
         while (core.scope.isActive) {
             read(target, instance)
-            core.thread.decide { control.unlinked(target) }
+            core.thread.decide { control.onDisconnected(target) }
             delay(RECONNECT_PAUSE)
         }
     }
@@ -95,8 +95,8 @@
     ): Boolean {
         if (report.target != target) return false
         core.thread.decide {
-            control.membership.alive(instance.daemon)
-            control.reported(report)
+            control.membership.clearSuspicion(instance.daemon)
+            control.onTargetReport(report)
         }
         return true
     }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/front/CallerFront.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/front/CallerServer.kt
@@ -40,7 +40,7 @@
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Step
 import lagoonrudder.traffic.FilterChain
 import lagoonrudder.traffic.entry.CallerRequest
@@ -49,7 +49,7 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-class CallerFront(
+class CallerServer(
     private val core: DaemonCore,
     private val chain: FilterChain<EntryCall>,
     private val uploads: UploadController,
@@ -95,7 +95,7 @@
         call: ApplicationCall,
         request: CallerRequest,
     ) = coroutineScope {
-        val sink = HttpAnswerSink()
+        val sink = HttpResponseSink()
         val running = async { chain.run(EntryCall(request, sink, core.clock.elapsed())) }
         val start =
             select {
@@ -108,7 +108,7 @@
         call.respondBytesWriter(type, HttpStatusCode.fromValue(start.status)) {
             sink.attach(this)
             val outcome = running.await()
-            if (outcome is Outcome.Broken) throw BrokenAnswer(outcome.failure)
+            if (outcome is Outcome.Broken) throw ResponseBrokenException(outcome.failure)
         }
     }
 
@@ -123,7 +123,7 @@
                 .header(HttpHeaders.Authorization)
                 .orEmpty()
                 .removePrefix("Bearer "),
-        key = call.request.header(KEY_HEADER)?.let(::RepeatKey),
+        key = call.request.header(KEY_HEADER)?.let(::IdempotencyKey),
         contentType = call.request.header(HttpHeaders.ContentType).orEmpty(),
         body = body,
     )
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/front/HttpAnswerSink.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/front/HttpResponseSink.kt
@@ -9,30 +9,30 @@
 import kotlinx.coroutines.CompletableDeferred
 import lagoonrudder.model.Failure
 import lagoonrudder.model.VersionId
-import lagoonrudder.traffic.entry.AnswerSink
-import lagoonrudder.traffic.entry.CallerGone
+import lagoonrudder.traffic.entry.ResponseSink
+import lagoonrudder.traffic.entry.CallerDisconnected
 import java.io.IOException
 import java.nio.ByteBuffer
 import java.nio.CharBuffer
 import java.nio.charset.CharsetDecoder
 
 /** The status line of an answer that has begun. */
-data class AnswerStart(
+data class ResponseStart(
     val status: Int,
     val contentType: String,
     val version: VersionId?,
 )
 
 /** The answer broke after its start; thrown to make the server close the connection. */
-class BrokenAnswer(
+class ResponseBrokenException(
     failure: Failure,
 ) : IOException(failure.describe())
 
-class HttpAnswerSink : AnswerSink {
+class HttpResponseSink : ResponseSink {
     /** Completed when the answer begins. */
-    val started = CompletableDeferred<AnswerStart>()
+    val started = CompletableDeferred<ResponseStart>()
     private val channel = CompletableDeferred<ByteWriteChannel>()
-    private val text = TextPieces()
+    private val text = Utf8StreamDecoder()
 
     /** Gives the sink the body to write to, once the status line is out. */
     fun attach(body: ByteWriteChannel) {
@@ -44,7 +44,7 @@
         contentType: String,
         version: VersionId?,
     ) {
-        started.complete(AnswerStart(status, contentType, version))
+        started.complete(ResponseStart(status, contentType, version))
         channel.await()
     }
 
@@ -78,13 +78,13 @@
         } catch (cancelled: CancellationException) {
             throw cancelled
         } catch (broken: IOException) {
-            throw CallerGone(broken)
+            throw CallerDisconnected(broken)
         }
     }
 }
 
 /** Decodes UTF-8 that arrives in pieces which may end inside a character. */
-internal class TextPieces {
+internal class Utf8StreamDecoder {
     private val decoder: CharsetDecoder = Charsets.UTF_8.newDecoder()
     private var rest = ByteArray(0)
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/observe/DaemonMetrics.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/observe/DaemonMetrics.kt
@@ -23,8 +23,8 @@
     private val registry = PrometheusMeterRegistry(PrometheusConfig.DEFAULT)
 
     init {
-        Gauge.builder("lagoonrudder.control.decisions", thread) { it.work().decisions.toDouble() }.register(registry)
-        Gauge.builder("lagoonrudder.control.busy.seconds", thread) { it.work().busy.toDouble(DurationUnit.SECONDS) }.register(registry)
+        Gauge.builder("lagoonrudder.control.decisions", thread) { it.usage().decisions.toDouble() }.register(registry)
+        Gauge.builder("lagoonrudder.control.busy.seconds", thread) { it.usage().busy.toDouble(DurationUnit.SECONDS) }.register(registry)
         Gauge.builder("lagoonrudder.control.lag.seconds", thread) { it.lag().toDouble(DurationUnit.SECONDS) }.register(registry)
         for (invariant in Invariant.entries) {
             Gauge
@@ -34,7 +34,7 @@
         }
     }
 
-    fun requestEnded(
+    fun recordRequest(
         outcome: Outcome,
         took: Duration,
     ) {
@@ -42,9 +42,9 @@
     }
 
     /** The caller left before there was an outcome. */
-    fun callerLeft(took: Duration) = requestTimer("caller-left").record(took.toJavaDuration())
+    fun recordCallerDisconnect(took: Duration) = requestTimer("caller-left").record(took.toJavaDuration())
 
-    fun firstEvent(after: Duration) =
+    fun recordFirstEvent(after: Duration) =
         Timer
             .builder("lagoonrudder.first.event")
             .serviceLevelObjectives(*LATENCY_BUCKETS)
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/observe/EventLog.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/observe/EventLog.kt
@@ -39,7 +39,7 @@
     )
 
     /** Logs that the program broke an invariant of its own. */
-    fun violated(violation: Violation) =
+    fun invariantViolated(violation: Violation) =
         error(
             "invariant-violated",
             "invariant" to violation.invariant.name.lowercase(),
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/operators/OperatorServer.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/operators/OperatorServer.kt
@@ -19,7 +19,7 @@
 import lagoonrudder.model.Address
 
 /** What the daemon shows of itself; every function runs on the control thread. */
-interface DaemonView {
+interface DaemonDiagnostics {
     /** Whether the daemon takes new work. */
     fun ready(): Boolean
 
@@ -31,7 +31,7 @@
 
 class OperatorServer(
     private val core: DaemonCore,
-    private val view: DaemonView,
+    private val view: DaemonDiagnostics,
 ) : AutoCloseable {
     private val address = core.settings.listen.operators
     private val server = embeddedServer(CIO, port = address.port, host = address.host) { routing { routes() } }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/platform/ConfigurationService.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/platform/ConfigurationService.kt
@@ -70,7 +70,7 @@
     private suspend fun read(
         path: String,
         limit: Duration,
-    ): Either<Failure, PlatformAnswer?> =
+    ): Either<Failure, PlatformResponse?> =
         client.read("http://$address/v1/$path", Step.READ_PLATFORM, peer, limit).map { answer -> answer.takeIf { it.status == OK } }
 
     private fun waitQuery(
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/platform/HttpRead.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/platform/HttpRead.kt
@@ -34,7 +34,7 @@
     }
 
 /** What the platform answered; [generation] is zero where it names none. */
-class PlatformAnswer(
+class PlatformResponse(
     val status: Int,
     val generation: Long,
     val bytes: ByteArray,
@@ -48,8 +48,8 @@
     step: Step,
     peer: Peer,
     limit: Duration,
-): Either<Failure, PlatformAnswer> =
-    guarded(step, peer, limit) {
+): Either<Failure, PlatformResponse> =
+    callWithTimeout(step, peer, limit) {
         prepareGet(url).execute { response -> answerOf(response, step, peer) }
     }
 
@@ -57,15 +57,15 @@
     response: HttpResponse,
     step: Step,
     peer: Peer,
-): Either<Failure, PlatformAnswer> {
+): Either<Failure, PlatformResponse> {
     val expected = listOf(HttpStatusCode.OK, HttpStatusCode.NoContent, HttpStatusCode.NotFound)
     if (response.status !in expected) return Failure.Declined(step, peer, "status ${response.status.value}").left()
     val generation = response.headers[GENERATION_HEADER]?.toLongOrNull() ?: 0
-    return PlatformAnswer(response.status.value, generation, response.readRawBytes()).right()
+    return PlatformResponse(response.status.value, generation, response.readRawBytes()).right()
 }
 
 /** Runs [block] within [limit] and turns what it throws into a failure. */
-internal suspend fun <T> guarded(
+internal suspend fun <T> callWithTimeout(
     step: Step,
     peer: Peer,
     limit: Duration,
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/settings/DaemonSettings.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/settings/DaemonSettings.kt
@@ -10,8 +10,8 @@
 import arrow.core.raise.Raise
 import arrow.core.raise.either
 import lagoonrudder.control.QueueBounds
-import lagoonrudder.control.ReaderMemoryPolicy
-import lagoonrudder.control.WeightBounds
+import lagoonrudder.control.ResponseBufferPolicy
+import lagoonrudder.control.WeightFetchLimits
 import lagoonrudder.model.Address
 import lagoonrudder.model.DaemonId
 import lagoonrudder.model.DaemonRole
@@ -47,8 +47,8 @@
 /** What the daemon may hold, in bytes and requests. */
 data class LimitSettings(
     val queue: QueueBounds,
-    val readers: ReaderMemoryPolicy,
-    val weights: WeightBounds,
+    val readers: ResponseBufferPolicy,
+    val weights: WeightFetchLimits,
     val uploadBytes: Long,
 )
 
@@ -63,11 +63,11 @@
     val limits: LimitSettings,
 )
 
-val DEFAULT_LIMITS =
+val DEFAULT_LIMIT_SETTINGS =
     LimitSettings(
         queue = QueueBounds(),
-        readers = ReaderMemoryPolicy.Windowed(),
-        weights = WeightBounds(),
+        readers = ResponseBufferPolicy.Windowed(),
+        weights = WeightFetchLimits(),
         uploadBytes = 16_000_000,
     )
 
@@ -81,7 +81,7 @@
         val unknown = sections.keys.firstOrNull { it !in SECTIONS }
         if (unknown != null) raise(missing(file, unknown, "expected one of the sections ${SECTIONS.joinToString(", ")}"))
         val daemon = sections["daemon"] ?: raise(missing(file, "daemon", "expected this section, found none"))
-        val role = with(daemon) { choice("role", DaemonRole.entries) }
+        val role = with(daemon) { enumValue("role", DaemonRole.entries) }
         val settings =
             DaemonSettings(
                 name = with(daemon) { DaemonId(text("name")) },
@@ -91,9 +91,9 @@
                 platform = readPlatform(require(sections, file, "platform")),
                 seeds = sections["peers"]?.let { with(it) { addresses("seeds") } }.orEmpty(),
                 slot = if (role == DaemonRole.TARGET) readSlot(require(sections, file, "slot")) else null,
-                limits = sections["limits"]?.let { readLimits(it) } ?: DEFAULT_LIMITS,
+                limits = sections["limits"]?.let { readLimits(it) } ?: DEFAULT_LIMIT_SETTINGS,
             )
-        sections.values.forEach { with(it) { nothingElse() } }
+        sections.values.forEach { with(it) { rejectUnknownKeys() } }
         settings
     }
 
@@ -141,18 +141,18 @@
     LimitSettings(
         queue = readQueue(section),
         readers = readReaders(section),
-        weights = WeightBounds(memory = positive(section, "weight-memory-bytes", DEFAULT_LIMITS.weights.memory)),
-        uploadBytes = positive(section, "upload-bytes", DEFAULT_LIMITS.uploadBytes),
+        weights = WeightFetchLimits(memoryBytes = positive(section, "weight-memory-bytes", DEFAULT_LIMIT_SETTINGS.weights.memoryBytes)),
+        uploadBytes = positive(section, "upload-bytes", DEFAULT_LIMIT_SETTINGS.uploadBytes),
     )
 
 private fun Raise<Failure.Malformed>.readQueue(section: IniSection): QueueBounds {
-    val default = DEFAULT_LIMITS.queue
+    val default = DEFAULT_LIMIT_SETTINGS.queue
     val requests = positive(section, "queue-requests", default.requests.toLong())
     return QueueBounds(requests.coerceAtMost(Int.MAX_VALUE.toLong()).toInt(), positive(section, "queue-bytes", default.bytes))
 }
 
-private fun Raise<Failure.Malformed>.readReaders(section: IniSection): ReaderMemoryPolicy {
-    val default = ReaderMemoryPolicy.Windowed()
+private fun Raise<Failure.Malformed>.readReaders(section: IniSection): ResponseBufferPolicy {
+    val default = ResponseBufferPolicy.Windowed()
     val window = positive(section, "reader-window-bytes", default.window)
     return default.copy(window = window, budget = positive(section, "reader-budget-bytes", default.budget))
 }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
@@ -7,24 +7,24 @@
 import kotlinx.coroutines.isActive
 import kotlinx.coroutines.launch
 import lagoonrudder.control.DumpSection
-import lagoonrudder.control.Holder
-import lagoonrudder.control.LimitController
-import lagoonrudder.control.RepeatController
-import lagoonrudder.control.SwitchController
-import lagoonrudder.control.WeightController
+import lagoonrudder.control.WeightHolder
+import lagoonrudder.control.ConcurrencyLimitController
+import lagoonrudder.control.IdempotencyController
+import lagoonrudder.control.VersionSwitchController
+import lagoonrudder.control.WeightFetchController
 import lagoonrudder.daemon.Daemon
 import lagoonrudder.daemon.DaemonAddresses
 import lagoonrudder.daemon.DaemonCore
-import lagoonrudder.daemon.PeerEnd
+import lagoonrudder.daemon.PeerRpcHandler
 import lagoonrudder.daemon.backend.HttpBackEnd
-import lagoonrudder.daemon.configuration.ConfigurationLoop
-import lagoonrudder.daemon.operators.DaemonView
+import lagoonrudder.daemon.configuration.ConfigurationSyncLoop
+import lagoonrudder.daemon.operators.DaemonDiagnostics
 import lagoonrudder.daemon.operators.OperatorServer
 import lagoonrudder.daemon.platform.WeightOrigin
 import lagoonrudder.model.Address
 import lagoonrudder.model.RegionId
 import lagoonrudder.traffic.FilterChain
-import lagoonrudder.traffic.target.Reservations
+import lagoonrudder.traffic.target.KeyReservations
 import lagoonrudder.traffic.target.TargetControl
 import lagoonrudder.traffic.target.targetFilters
 import lagoonrudder.wire.rpc.RpcServer
@@ -34,7 +34,7 @@
 class TargetDaemon(
     override val core: DaemonCore,
 ) : Daemon,
-    DaemonView {
+    DaemonDiagnostics {
     private val settings = core.settings
     private val slot = checkNotNull(settings.slot)
     private val backEnd = HttpBackEnd(core.http, slot.backEnd)
@@ -49,22 +49,22 @@
             incarnation = core.incarnation,
             configuration = core.configuration,
             membership = core.membership,
-            limits = LimitController(core.options.limit, core.invariants),
-            repeats = RepeatController(slot.target, core.options.repeats, core.invariants, core.clock.now(), startedAt),
-            switch = SwitchController(slot.target, startedAt),
-            weights = WeightController(self(), core.options.sources, settings.limits.weights, core.invariants),
+            limits = ConcurrencyLimitController(core.options.limit, core.invariants),
+            repeats = IdempotencyController(slot.target, core.options.repeats, core.invariants, core.clock.now(), startedAt),
+            switch = VersionSwitchController(slot.target, startedAt),
+            weights = WeightFetchController(self(), core.options.sources, settings.limits.weights, core.invariants),
             service = core.service,
         )
-    private val weights = WeightLoop(core, control, backEnd, origin) { switch.poke() }
-    private val switch: SwitchLoop = SwitchLoop(core, control, backEnd, weights)
-    private val configuration = ConfigurationLoop(core) { configured() }
+    private val weights = WeightDistributionLoop(core, control, backEnd, origin) { switch.wake() }
+    private val switch: VersionSwitchLoop = VersionSwitchLoop(core, control, backEnd, weights)
+    private val configuration = ConfigurationSyncLoop(core) { configured() }
     private val chain = FilterChain(targetFilters(control, backEnd, core.clock, core.invariants, core.options.engine))
     private val operators = OperatorServer(core, this)
     private var rpcServer: RpcServer? = null
 
     override suspend fun start(): DaemonAddresses {
-        val end = TargetEnd(control, chain, Reservations(control, core.rpc, core.clock), core.clock)
-        val rpc = RpcServer.start(settings.listen.rpc, core.scope.coroutineContext, PeerEnd(configuration, weights), end)
+        val end = TargetRpcHandler(control, chain, KeyReservations(control, core.rpc, core.clock), core.clock)
+        val rpc = RpcServer.start(settings.listen.rpc, core.scope.coroutineContext, PeerRpcHandler(configuration, weights), end)
         rpcServer = rpc
         val addresses = DaemonAddresses(Address(settings.listen.rpc.host, rpc.port), null, operators.start())
         configuration.start()
@@ -82,13 +82,13 @@
     }
 
     override suspend fun stop() {
-        core.log.info("leaving", "in-hand" to core.thread.decide { core.service.inHand() })
+        core.log.info("leaving", "in-hand" to core.thread.decide { core.service.active() })
         core.thread.decide {
-            core.service.leave()
+            core.service.beginShutdown()
             control.publish()
         }
         core.service.drained.await()
-        rpcServer?.leave()
+        rpcServer?.beginShutdown()
         delay(LAST_ANSWERS)
         core.log.info("stopped")
         close()
@@ -103,22 +103,22 @@
     override fun ready(): Boolean = control.closed() == null && control.switch.refusal() == null
 
     override fun status(): String {
-        val room = control.limits.room()
+        val load = control.limits.load()
         return "name=${settings.name.text} role=target domain=${settings.domain.text} target=${slot.target.text} ready=${ready()} " +
-            "revision=${core.configuration.current.revision.number} version=${control.switch.serving()?.text} " +
-            "switch=${control.switch.status().name.lowercase()} limit=${room.limit} in-flight=${room.inFlight} " +
+            "revision=${core.configuration.current.revision.number} version=${control.switch.servingVersion()?.text} " +
+            "switch=${control.switch.status().name.lowercase()} limit=${load.limit} in-flight=${load.inFlight} " +
             "violations=${core.invariants.total()}"
     }
 
     override fun dump(): List<DumpSection> = control.dump()
 
     /** Until a set names the region of this daemon's failure domain, the domain stands for it. */
-    private fun self() = Holder(settings.name, settings.domain, RegionId(settings.domain.text))
+    private fun self() = WeightHolder(settings.name, settings.domain, RegionId(settings.domain.text))
 
     private fun configured() {
         control.configured()
         weights.configured()
-        switch.poke()
+        switch.wake()
     }
 
     private suspend fun tick() {
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetEnd.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetRpcHandler.kt
@@ -12,8 +12,8 @@
 import kotlinx.coroutines.flow.first
 import kotlinx.coroutines.flow.flow
 import kotlinx.coroutines.withTimeoutOrNull
-import lagoonrudder.control.RepeatDecision
-import lagoonrudder.control.Surrender
+import lagoonrudder.control.IdempotencyDecision
+import lagoonrudder.control.SurrenderResult
 import lagoonrudder.control.SwitchReport
 import lagoonrudder.control.TargetReport
 import lagoonrudder.model.Clock
@@ -23,7 +23,7 @@
 import lagoonrudder.traffic.RunEvent
 import lagoonrudder.traffic.RunRequest
 import lagoonrudder.traffic.SurrenderRequest
-import lagoonrudder.traffic.target.Reservations
+import lagoonrudder.traffic.target.KeyReservations
 import lagoonrudder.traffic.target.TargetCall
 import lagoonrudder.traffic.target.TargetControl
 import lagoonrudder.wire.rpc.TargetService
@@ -31,10 +31,10 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class TargetEnd(
+class TargetRpcHandler(
     private val control: TargetControl,
     private val chain: FilterChain<TargetCall>,
-    private val reservations: Reservations,
+    private val reservations: KeyReservations,
     private val clock: Clock,
 ) : TargetService {
     override fun run(request: RunRequest): Flow<RunEvent> =
@@ -42,15 +42,15 @@
             val call = TargetCall(request, clock.elapsed()) { send(it) }
             when (val outcome = chain.run(call)) {
                 is Outcome.Completed -> Unit
-                is Outcome.Refused -> send(RunEvent.NotRun(outcome.refusal, control.thread.decide { control.limits.room() }))
+                is Outcome.Refused -> send(RunEvent.NotRun(outcome.refusal, control.thread.decide { control.limits.load() }))
                 is Outcome.Unknown -> throw Status.ABORTED.withDescription(outcome.failure.describe()).asException()
                 is Outcome.Broken -> throw Status.ABORTED.withDescription(outcome.failure.describe()).asException()
             }
         }.buffer(Channel.RENDEZVOUS)
 
-    override suspend fun reserve(request: ReserveRequest): RepeatDecision = reservations.reserve(request)
+    override suspend fun reserve(request: ReserveRequest): IdempotencyDecision = reservations.reserve(request)
 
-    override suspend fun surrender(request: SurrenderRequest): Surrender = reservations.surrender(request)
+    override suspend fun surrender(request: SurrenderRequest): SurrenderResult = reservations.surrender(request)
 
     override fun reports(): Flow<TargetReport> =
         flow {
@@ -71,11 +71,11 @@
     ): Boolean {
         val state = now.accepting != sent.accepting || now.version != sent.version
         val opened = isFull(sent) != isFull(now)
-        val limit = abs(now.room.limit - sent.room.limit) * LIMIT_CHANGE > sent.room.limit
+        val limit = abs(now.load.limit - sent.load.limit) * LIMIT_CHANGE > sent.load.limit
         return state || opened || limit
     }
 
-    private fun isFull(report: TargetReport) = report.room.inFlight >= report.room.limit
+    private fun isFull(report: TargetReport) = report.load.inFlight >= report.load.limit
 
     private companion object {
         val HEARTBEAT = 1.seconds
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/SwitchLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/VersionSwitchLoop.kt
@@ -10,25 +10,25 @@
 import lagoonrudder.control.EngineOrder
 import lagoonrudder.control.EngineState
 import lagoonrudder.control.OrderResult
-import lagoonrudder.control.SwitchController
+import lagoonrudder.control.VersionSwitchController
 import lagoonrudder.control.SwitchStatus
 import lagoonrudder.control.SwitchStep
 import lagoonrudder.daemon.DaemonCore
 import lagoonrudder.model.IncarnationId
 import lagoonrudder.model.TargetId
-import lagoonrudder.traffic.target.BackEnd
+import lagoonrudder.traffic.target.LocalBackEnd
 import lagoonrudder.traffic.target.TargetControl
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class SwitchLoop(
+class VersionSwitchLoop(
     private val core: DaemonCore,
     private val control: TargetControl,
-    private val backEnd: BackEnd,
-    private val weights: WeightLoop,
+    private val backEnd: LocalBackEnd,
+    private val weights: WeightDistributionLoop,
 ) {
-    private val wake = Channel<Unit>(Channel.CONFLATED)
+    private val wakeSignal = Channel<Unit>(Channel.CONFLATED)
     private var known: IncarnationId? = null
     private var lastStatus: SwitchStatus? = null
 
@@ -42,8 +42,8 @@
     }
 
     /** Something changed that may call for another step. */
-    fun poke() {
-        wake.trySend(Unit)
+    fun wake() {
+        wakeSignal.trySend(Unit)
     }
 
     private suspend fun step() {
@@ -53,13 +53,13 @@
             }
         core.thread.decide { control.publish() }
         when (step) {
-            SwitchStep.Rest -> rest(READ_INTERVAL)
+            SwitchStep.NoAction -> rest(READ_INTERVAL)
             SwitchStep.ReadEngine -> readEngine()
-            SwitchStep.DrawWeights -> rest(READ_INTERVAL)
+            SwitchStep.FetchWeights -> rest(READ_INTERVAL)
             SwitchStep.Drain -> pause(DRAIN_INTERVAL)
-            is SwitchStep.AskOthers -> askOthers(step.targets)
-            is SwitchStep.Give -> give(step.order)
-            is SwitchStep.WaitOut -> pause(step.until - core.clock.elapsed())
+            is SwitchStep.QueryTargets -> askOthers(step.targets)
+            is SwitchStep.SendOrder -> give(step.order)
+            is SwitchStep.AwaitOrderTimeout -> pause(step.until - core.clock.elapsed())
         }
     }
 
@@ -70,14 +70,14 @@
     }
 
     private suspend fun pause(limit: Duration) {
-        withTimeoutOrNull(limit.coerceAtLeast(DRAIN_INTERVAL)) { wake.receive() }
+        withTimeoutOrNull(limit.coerceAtLeast(DRAIN_INTERVAL)) { wakeSignal.receive() }
     }
 
     private suspend fun readEngine() {
         backEnd.state(READ_LIMIT).fold(
             { failure ->
                 core.thread.decide {
-                    control.switch.engineLost()
+                    control.switch.onEngineLost()
                     control.publish()
                 }
                 core.log.failure("engine-not-read", failure)
@@ -91,28 +91,28 @@
         val restarted = known != null && known != state.incarnation
         known = state.incarnation
         core.thread.decide {
-            control.switch.read(state)
-            control.limits.observe(state.incarnation)
-            if (restarted) weights.engineRestarted()
+            control.switch.onEngineState(state)
+            control.limits.onEngineIncarnation(state.incarnation)
+            if (restarted) weights.onEngineRestarted()
             control.publish()
         }
         if (!restarted) return
         core.log.warning("engine-restarted", "incarnation" to state.incarnation.text)
-        core.scope.launch { weights.deliverHeld() }
+        core.scope.launch { weights.redeliverHeldChunks() }
     }
 
     private suspend fun askOthers(targets: List<TargetId>) {
         for (target in targets) {
             val instance = core.thread.decide { core.membership.daemonOf(target) }
             val report = instance?.let { core.rpc.switchReport(it, ASK_LIMIT).getOrNull() }
-            core.thread.decide { control.switch.heard(target, report?.version, report?.status, core.clock.elapsed()) }
+            core.thread.decide { control.switch.onSwitchReport(target, report?.version, report?.status, core.clock.elapsed()) }
         }
         pause(ASK_INTERVAL)
     }
 
     private suspend fun give(order: EngineOrder) {
-        val result = backEnd.order(order, SwitchController.ORDER_LIFE)
-        core.thread.decide { control.switch.ordered(order, result) }
+        val result = backEnd.order(order, VersionSwitchController.ORDER_TIMEOUT)
+        core.thread.decide { control.switch.onOrderResult(order, result) }
         core.log.info("engine-ordered", "order" to order, "result" to result)
         if (result is OrderResult.Unknown) pause(FAILURE_PAUSE)
     }
@@ -123,7 +123,7 @@
         lastStatus = status
         val version = core.thread.decide { control.wantedVersion()?.id?.text }
         core.log.info("switch-status", "status" to status.name.lowercase(), "version" to version)
-        if (status == SwitchStatus.SERVING) core.thread.decide { control.weights.release() }
+        if (status == SwitchStatus.SERVING) core.thread.decide { control.weights.onVersionLoaded() }
         if (status == SwitchStatus.FAILED) core.log.error("switch-failed", "version" to version, "action" to "wave-stopped")
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/WeightLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/WeightDistributionLoop.kt
@@ -13,9 +13,9 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import lagoonrudder.control.ChunkDecision
 import lagoonrudder.control.ChunkSource
-import lagoonrudder.control.DrawDecision
-import lagoonrudder.control.DrawResult
-import lagoonrudder.control.WeightPlan
+import lagoonrudder.control.FetchDecision
+import lagoonrudder.control.FetchResult
+import lagoonrudder.control.ChunkSourcePlan
 import lagoonrudder.daemon.ChunkService
 import lagoonrudder.daemon.DaemonCore
 import lagoonrudder.daemon.platform.WeightOrigin
@@ -29,7 +29,7 @@
 import lagoonrudder.model.Step
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.digestOf
-import lagoonrudder.traffic.target.BackEnd
+import lagoonrudder.traffic.target.LocalBackEnd
 import lagoonrudder.traffic.target.TargetControl
 import lagoonrudder.wire.messages.ChunkMessage
 import lagoonrudder.wire.messages.ChunkReply
@@ -38,14 +38,14 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class WeightLoop(
+class WeightDistributionLoop(
     private val core: DaemonCore,
     private val control: TargetControl,
-    private val backEnd: BackEnd,
+    private val backEnd: LocalBackEnd,
     private val origin: WeightOrigin,
-    private val progressed: () -> Unit,
+    private val onComplete: () -> Unit,
 ) : ChunkService {
-    private val wake = Channel<Unit>(Channel.CONFLATED)
+    private val wakeSignal = Channel<Unit>(Channel.CONFLATED)
     private val arrivals = MutableStateFlow(0L)
 
     /** The chunks that the engine has of the version being drawn; changed on the control thread only. */
@@ -59,8 +59,8 @@
 
     /** The wanted version or the holders may have changed; runs on the control thread. */
     fun configured() {
-        control.weights.replan(control.holders())
-        wake.trySend(Unit)
+        control.weights.updateHolders(control.holders())
+        wakeSignal.trySend(Unit)
     }
 
     /** Whether the engine has every chunk of the wanted version; runs on the control thread. */
@@ -70,10 +70,10 @@
     }
 
     /** The engine started anew and has nothing; runs on the control thread. */
-    fun engineRestarted() {
+    fun onEngineRestarted() {
         delivered.clear()
-        control.weights.restart()
-        wake.trySend(Unit)
+        control.weights.onEngineReset()
+        wakeSignal.trySend(Unit)
     }
 
     override suspend fun chunk(message: ChunkMessage): ChunkReply {
@@ -92,7 +92,7 @@
         while (true) {
             val seen = arrivals.value
             find(version, chunk)?.let { return it }
-            val hopeless = core.thread.decide { control.weights.draws(version) && !willHave(version) }
+            val hopeless = core.thread.decide { control.weights.isFetching(version) && !willHave(version) }
             if (hopeless) return null
             arrivals.first { it != seen }
         }
@@ -123,22 +123,22 @@
             drawing = null
             control.weights.drop()
         }
-        wake.receive()
+        wakeSignal.receive()
     }
 
     private suspend fun step(wanted: OperatorObject.Version) {
         if (!prepare(wanted)) return pause(MANIFEST_PAUSE)
         val now = core.clock.elapsed()
         when (val decision = core.thread.decide { control.weights.next(now) }) {
-            is DrawDecision.Draw -> core.scope.launch { draw(decision, wanted) }
-            is DrawDecision.Wait -> pause((decision.until - now).coerceIn(SHORTEST_PAUSE, LONGEST_PAUSE))
-            DrawDecision.Busy, DrawDecision.Complete -> wake.receive()
+            is FetchDecision.Fetch -> core.scope.launch { draw(decision, wanted) }
+            is FetchDecision.Wait -> pause((decision.until - now).coerceIn(SHORTEST_PAUSE, LONGEST_PAUSE))
+            FetchDecision.Busy, FetchDecision.Complete -> wakeSignal.receive()
         }
     }
 
     /** Waits until something changes, for [limit] at most. */
     private suspend fun pause(limit: Duration) {
-        withTimeoutOrNull(limit) { wake.receive() }
+        withTimeoutOrNull(limit) { wakeSignal.receive() }
     }
 
     /** Gets the manifest of a newly wanted version; false while it can't be had. */
@@ -165,7 +165,7 @@
         drawing = wanted
         manifest = bytes
         delivered.clear()
-        control.weights.want(wanted, digests, control.holders())
+        control.weights.startFetch(wanted, digests, control.holders())
         arrivals.value++
     }
 
@@ -193,7 +193,7 @@
             core.configuration.current.objects.regions.values
                 .firstOrNull { it.origin }
                 ?.id
-        return WeightPlan(core.options.sources, wanted.id, self, holders, region, wanted.chunkCount).sources(MANIFEST)
+        return ChunkSourcePlan(core.options.sources, wanted.id, self, holders, region, wanted.chunkCount).sources(MANIFEST)
     }
 
     /** Reads from [source]; null in place of bytes means that the source does not have them yet. */
@@ -231,30 +231,30 @@
     }
 
     private suspend fun draw(
-        decision: DrawDecision.Draw,
+        decision: FetchDecision.Fetch,
         version: OperatorObject.Version,
     ) {
-        val limit = core.settings.limits.weights.drawLimit
+        val limit = core.settings.limits.weights.fetchTimeout
         val read = readFrom(decision.source, version, decision.chunk, limit) { origin.chunk(version.id, decision.chunk, limit) }
-        val result = read.fold({ DrawResult.Failed }, { if (it == null) DrawResult.NotYet else DrawResult.Arrived(digestOf(it), it) })
+        val result = read.fold({ FetchResult.Failed }, { if (it == null) FetchResult.NotYet else FetchResult.Received(digestOf(it), it) })
         val judged =
-            core.thread.decide { control.weights.ended(version.id, decision.chunk, decision.source, result, core.clock.elapsed()) }
+            core.thread.decide { control.weights.onFetchEnded(version.id, decision.chunk, decision.source, result, core.clock.elapsed()) }
         read.onLeft { core.log.failure("chunk-failed", it, "version" to version.id.text, "chunk" to decision.chunk.number) }
         when (judged) {
             ChunkDecision.Keep -> keep(version, decision.chunk, result)
             ChunkDecision.Damaged -> damaged(version, decision)
             ChunkDecision.Discard -> Unit
         }
-        wake.trySend(Unit)
+        wakeSignal.trySend(Unit)
     }
 
     private suspend fun keep(
         version: OperatorObject.Version,
         chunk: ChunkIndex,
-        result: DrawResult,
+        result: FetchResult,
     ) {
         arrivals.value++
-        if (result is DrawResult.Arrived) deliver(version, chunk, result.bytes)
+        if (result is FetchResult.Received) deliver(version, chunk, result.bytes)
     }
 
     /** Hands a chunk to the engine, again while the engine can't take it and the version is still wanted. */
@@ -264,7 +264,7 @@
         bytes: ByteArray,
     ) {
         while (core.thread.decide { drawing == version }) {
-            val put = backEnd.putChunk(version.id, chunk, bytes, core.settings.limits.weights.drawLimit)
+            val put = backEnd.putChunk(version.id, chunk, bytes, core.settings.limits.weights.fetchTimeout)
             if (put.isRight()) return noteDelivered(version, chunk)
             put.onLeft { core.log.failure("chunk-not-taken", it, "version" to version.id.text, "chunk" to chunk.number) }
             delay(DELIVER_PAUSE)
@@ -282,11 +282,11 @@
             }
         if (!whole) return
         core.log.info("weights-complete", "version" to version.id.text)
-        progressed()
+        onComplete()
     }
 
     /** Hands what is still held to an engine that started anew. */
-    suspend fun deliverHeld() {
+    suspend fun redeliverHeldChunks() {
         val version = core.thread.decide { drawing } ?: return
         val held = core.thread.decide { control.weights.heldChunks() }
         for ((chunk, bytes) in held) deliver(version, chunk, bytes)
@@ -294,7 +294,7 @@
 
     private fun damaged(
         version: OperatorObject.Version,
-        decision: DrawDecision.Draw,
+        decision: FetchDecision.Fetch,
     ) {
         core.metrics.count("chunks", "damaged")
         val failure = Failure.Damaged(Step.VERIFY_CHUNK, peerOf(decision.source), "chunk ${decision.chunk.number} doesn't match its digest")
--- a/daemon/src/test/kotlin/lagoonrudder/daemon/DaemonSettingsTest.kt
+++ b/daemon/src/test/kotlin/lagoonrudder/daemon/DaemonSettingsTest.kt
@@ -42,7 +42,7 @@
             settings.listen.rpc shouldBe Address("127.0.0.1", 0)
             settings.seeds.size shouldBe 2
             settings.slot?.target shouldBe TargetId("worker-1")
-            settings.limits.weights.memory shouldBe 1_000_000
+            settings.limits.weights.memoryBytes shouldBe 1_000_000
         }
 
         test("errors name the file, the section and the key") {
--- a/http/src/main/kotlin/lagoonrudder/http/HttpClient.kt
+++ b/http/src/main/kotlin/lagoonrudder/http/HttpClient.kt
@@ -32,7 +32,7 @@
  * [connectLimit] bounds the opening of a connection; [idleLimit] how long one is kept, whatever its server allows.
  */
 class HttpClient(
-    private val loop: HttpLoop,
+    private val loop: HttpEventLoop,
     private val clock: Clock,
     private val connectLimit: Duration = CONNECT_LIMIT,
     private val idleLimit: Duration = IDLE_LIMIT,
@@ -53,28 +53,28 @@
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectLimit.inWholeMilliseconds.toInt())
 
     /**
-     * Sends [request] on a connection that was idle for at most [freshness], or on a new one. A [Failure.Unreachable] means
+     * Sends [request] on a connection that was idle for at most [maxIdleTime], or on a new one. A [Failure.Unreachable] means
      * that nothing was sent.
      */
     suspend fun send(
         address: Address,
         request: HttpRequest,
         peer: Peer,
-        freshness: Duration = idleLimit,
-        belongs: (HttpHead) -> Boolean = { true },
+        maxIdleTime: Duration = idleLimit,
+        belongs: (HttpResponseHead) -> Boolean = { true },
     ): Either<Failure, HttpCall> {
-        val connection = reuse(address, freshness) ?: open(address)
+        val connection = reuse(address, maxIdleTime) ?: open(address)
         if (connection == null || !connection.usable) return Failure.Unreachable(Step.CONNECT, peer, "no connection to $address").left()
         return connection.send(request, belongs) { keep(address, it) }.right()
     }
 
-    /** Sends [request] and reads the whole answer, at most [mostBytes] of it, within [limit]. */
+    /** Sends [request] and reads the whole answer, at most [maxBytes] of it, within [limit]. */
     suspend fun exchange(
         address: Address,
         request: HttpRequest,
         peer: Peer,
         limit: Duration,
-        mostBytes: Int = MOST_BYTES,
+        maxBytes: Int = MOST_BYTES,
     ): Either<Failure, HttpResponse> {
         var call: HttpCall? = null
         try {
@@ -82,7 +82,7 @@
                 withTimeoutOrNull(limit) {
                     when (val sent = send(address, request, peer)) {
                         is Either.Left -> sent
-                        is Either.Right -> readWhole(sent.value.also { call = it }, peer, mostBytes)
+                        is Either.Right -> readWhole(sent.value.also { call = it }, peer, maxBytes)
                     }
                 }
             return result ?: Failure.TimedOut(Step.SEND, peer, limit).left()
@@ -92,16 +92,16 @@
     }
 
     /** Closes the idle connections to [address], for example after one of them went silent. */
-    fun forget(address: Address) {
+    fun closeIdle(address: Address) {
         idle.remove(address)?.forEach { it.connection.close() }
     }
 
     private suspend fun readWhole(
         call: HttpCall,
         peer: Peer,
-        mostBytes: Int,
+        maxBytes: Int,
     ): Either<Failure, HttpResponse> {
-        var head: HttpHead? = null
+        var head: HttpResponseHead? = null
         val body = ByteArrayOutputStream(0)
         while (true) {
             when (val event = call.next()) {
@@ -110,20 +110,20 @@
                 HttpEvent.End -> return HttpResponse(checkNotNull(head), body.toByteArray()).right()
                 is HttpEvent.Broken -> return Failure.Interrupted(Step.SEND, peer, event.detail).left()
             }
-            if (body.size() > mostBytes) return Failure.Damaged(Step.SEND, peer, "answer longer than $mostBytes bytes").left()
+            if (body.size() > maxBytes) return Failure.Damaged(Step.SEND, peer, "answer longer than $maxBytes bytes").left()
         }
     }
 
     private fun reuse(
         address: Address,
-        freshness: Duration,
+        maxIdleTime: Duration,
     ): HttpConnection? {
         val kept = idle[address] ?: return null
         val now = clock.elapsed()
         while (true) {
             val last = kept.removeLastOrNull() ?: return null
             val age = now - last.since
-            if (last.connection.usable && age < minOf(last.connection.keptFor, freshness)) return last.connection
+            if (last.connection.usable && age < minOf(last.connection.keptFor, maxIdleTime)) return last.connection
             last.connection.close()
         }
     }
--- a/http/src/main/kotlin/lagoonrudder/http/HttpConnection.kt
+++ b/http/src/main/kotlin/lagoonrudder/http/HttpConnection.kt
@@ -31,7 +31,7 @@
 /** What comes back on a connection, in this order: a head, bytes, an end. [Broken] may take the place of any of them. */
 sealed class HttpEvent {
     class Head(
-        val head: HttpHead,
+        val head: HttpResponseHead,
     ) : HttpEvent()
 
     class Bytes(
@@ -71,7 +71,7 @@
     /** Sends [request]. An answer whose head [belongs] turns down is skipped, as it answers an earlier request. */
     fun send(
         request: HttpRequest,
-        belongs: (HttpHead) -> Boolean,
+        belongs: (HttpResponseHead) -> Boolean,
         released: (HttpConnection) -> Unit,
     ): HttpCall {
         val message =
@@ -128,7 +128,7 @@
     }
 
     private inner class OpenCall(
-        private val belongs: (HttpHead) -> Boolean,
+        private val belongs: (HttpResponseHead) -> Boolean,
         private val released: (HttpConnection) -> Unit,
     ) : HttpCall {
         // A channel could lose an event that arrives just as the wait for it is cancelled.
@@ -222,13 +222,13 @@
         }
     }
 
-    private fun headOf(response: HttpResponse): HttpHead {
+    private fun headOf(response: HttpResponse): HttpResponseHead {
         val length = HttpUtil.getContentLength(response, -1L).takeIf { it >= 0 }
-        return HttpHead(response.status().code(), response.headers().map { HeaderField(it.key, it.value) }, length)
+        return HttpResponseHead(response.status().code(), response.headers().map { HeaderField(it.key, it.value) }, length)
     }
 
     /** The server's own idle limit, less a second for what is on its way. */
-    private fun keptFor(head: HttpHead): Duration {
+    private fun keptFor(head: HttpResponseHead): Duration {
         val stated =
             head.field("Keep-Alive")?.let {
                 KEEP_ALIVE_SECONDS
--- a/http/src/main/kotlin/lagoonrudder/http/HttpLoop.kt
+++ b/http/src/main/kotlin/lagoonrudder/http/HttpEventLoop.kt
@@ -12,7 +12,7 @@
 import kotlinx.coroutines.asCoroutineDispatcher
 import java.util.concurrent.TimeUnit
 
-class HttpLoop(
+class HttpEventLoop(
     name: String,
 ) : AutoCloseable {
     internal val group: EventLoopGroup = MultiThreadIoEventLoopGroup(1, DefaultThreadFactory(name, true), NioIoHandler.newFactory())
--- a/http/src/main/kotlin/lagoonrudder/http/HttpMessages.kt
+++ b/http/src/main/kotlin/lagoonrudder/http/HttpMessages.kt
@@ -16,7 +16,7 @@
 }
 
 /** The start of an answer. [length] is null when the answer is sent in chunks or ends with its connection. */
-class HttpHead(
+class HttpResponseHead(
     val status: Int,
     val fields: List<HeaderField>,
     val length: Long? = null,
@@ -26,14 +26,14 @@
 
 /** A whole answer. */
 class HttpResponse(
-    val head: HttpHead,
+    val head: HttpResponseHead,
     val body: ByteArray,
 )
 
 val NO_BYTES = ByteArray(0)
 
 /** Field names that concern one connection only and are never passed on, in lower case. */
-val CONNECTION_FIELDS =
+val HOP_BY_HOP_FIELDS =
     setOf(
         "connection",
         "keep-alive",
--- a/http/src/main/kotlin/lagoonrudder/http/HttpServer.kt
+++ b/http/src/main/kotlin/lagoonrudder/http/HttpServer.kt
@@ -40,8 +40,8 @@
         body: ByteArray,
     )
 
-    /** Starts an answer; without a [HttpHead.length] it is sent in chunks. */
-    suspend fun begin(head: HttpHead)
+    /** Starts an answer; without a [HttpResponseHead.length] it is sent in chunks. */
+    suspend fun begin(head: HttpResponseHead)
 
     /** Sends part of the body; suspends while the caller does not read. */
     suspend fun write(bytes: ByteArray)
@@ -49,7 +49,7 @@
     suspend fun end()
 
     /** Closes the connection so that the answer can't look complete. */
-    fun breakOff()
+    fun abort()
 }
 
 class HttpServer private constructor(
@@ -60,10 +60,10 @@
     val port: Int get() = (channel.localAddress() as java.net.InetSocketAddress).port
 
     /** The number of requests that are being answered. */
-    val inHand: Int get() = state.inHand.get()
+    val activeRequests: Int get() = state.activeRequests.get()
 
     /** From now on every answer closes its connection, and idle connections are closed. */
-    fun retire() {
+    fun drain() {
         state.retiring = true
         state.connections.forEach { it.closeWhenIdle() }
     }
@@ -86,7 +86,7 @@
 
         /** Binds [address] and answers with [handler]; [limits] is read anew for each connection. */
         fun start(
-            loop: HttpLoop,
+            loop: HttpEventLoop,
             scope: CoroutineScope,
             address: Address,
             limits: () -> CallerLimits,
@@ -125,7 +125,7 @@
     val handler: HttpHandler,
 ) {
     val connections: MutableSet<ServerConnection> = ConcurrentHashMap.newKeySet()
-    val inHand =
+    val activeRequests =
         java.util.concurrent.atomic
             .AtomicInteger()
 
--- a/http/src/main/kotlin/lagoonrudder/http/ServerConnection.kt
+++ b/http/src/main/kotlin/lagoonrudder/http/ServerConnection.kt
@@ -138,14 +138,14 @@
         timer?.cancel(false)
         val exchange = ServerExchange(request)
         current = exchange
-        server.inHand.incrementAndGet()
+        server.activeRequests.incrementAndGet()
         exchange.job =
             server.scope.launch(server.dispatcher, CoroutineStart.UNDISPATCHED) {
                 try {
                     server.handler.handle(exchange)
                 } finally {
-                    server.inHand.decrementAndGet()
-                    if (!exchange.ended) exchange.breakOff()
+                    server.activeRequests.decrementAndGet()
+                    if (!exchange.ended) exchange.abort()
                 }
             }
     }
@@ -243,7 +243,7 @@
             finish()
         }
 
-        override suspend fun begin(head: HttpHead) {
+        override suspend fun begin(head: HttpResponseHead) {
             if (gone()) return
             val response = DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(head.status))
             head.fields.forEach { response.headers().add(it.name, it.value) }
@@ -266,7 +266,7 @@
             finish()
         }
 
-        override fun breakOff() {
+        override fun abort() {
             if (ended) return
             ended = true
             channel.close()
--- a/http/src/test/kotlin/lagoonrudder/http/HttpClientTest.kt
+++ b/http/src/test/kotlin/lagoonrudder/http/HttpClientTest.kt
@@ -23,7 +23,7 @@
 private fun get() = HttpRequest("GET", "/", emptyList())
 
 private fun withClient(block: suspend (HttpClient) -> Unit) {
-    HttpLoop("test").use { loop ->
+    HttpEventLoop("test").use { loop ->
         val client = HttpClient(loop, SystemClock())
         runBlocking { withContext(loop.dispatcher) { block(client) } }
     }
--- a/http/src/test/kotlin/lagoonrudder/http/HttpServerTest.kt
+++ b/http/src/test/kotlin/lagoonrudder/http/HttpServerTest.kt
@@ -25,7 +25,7 @@
     limits: CallerLimits = LIMITS,
     handler: HttpHandler? = null,
 ) : AutoCloseable {
-    private val loop = HttpLoop("test")
+    private val loop = HttpEventLoop("test")
     val handled: MutableList<HttpRequest> = Collections.synchronizedList(mutableListOf())
     private val echo =
         HttpHandler { exchange ->
@@ -150,9 +150,9 @@
         test("an answer that is broken off can't look complete") {
             val handler =
                 HttpHandler { exchange ->
-                    exchange.begin(HttpHead(200, emptyList()))
+                    exchange.begin(HttpResponseHead(200, emptyList()))
                     exchange.write("part".encodeToByteArray())
-                    exchange.breakOff()
+                    exchange.abort()
                 }
             Serving(handler = handler).use { serving ->
                 val client = serving.connect()
@@ -167,7 +167,7 @@
                     .AtomicInteger()
             val handler =
                 HttpHandler { exchange ->
-                    exchange.begin(HttpHead(200, emptyList()))
+                    exchange.begin(HttpResponseHead(200, emptyList()))
                     repeat(2_000) {
                         exchange.write(ByteArray(10_000))
                         written.incrementAndGet()
@@ -185,7 +185,7 @@
 
         test("a retiring server answers what is in hand, closes with notice, and closes idle connections") {
             whileAnswering { serving, idle, busy, release ->
-                serving.server.retire()
+                serving.server.drain()
                 idle.readRest() shouldBe ""
                 release.complete(Unit)
                 val answer = busy.readRest()
@@ -205,7 +205,7 @@
                 Thread.sleep(100)
                 release.complete(Unit)
                 busy.readRest() shouldEndWith "done"
-                serving.server.inHand shouldBe 0
+                serving.server.activeRequests shouldBe 0
             }
         }
     })
--- a/model/src/main/kotlin/lagoonrudder/model/Serving.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/Configuration.kt
@@ -14,14 +14,14 @@
     /** Runs at most once for each request of a caller. */
     data object AtMostOnce : RequestKind()
 
-    /** A stream of events; [longestPause] is the longest pause between events of an answer in time. */
+    /** A stream of events; [maxEventGap] is the longest pause between events of an answer in time. */
     data class Stream(
         val resumable: Boolean,
-        val longestPause: Duration?,
+        val maxEventGap: Duration?,
     ) : RequestKind()
 
     /** Whether a second back end may run the request after the first may have. */
-    val repeatable: Boolean
+    val retryable: Boolean
         get() =
             when (this) {
                 Idempotent -> true
@@ -36,33 +36,33 @@
     val weight: Double,
 )
 
-/** [attempts] bounds the back ends that one request may be sent to; an empty set of [homes] means every region. */
+/** [attempts] bounds the back ends that one request may be sent to; an empty set of [homeRegions] means every region. */
 data class ServingRoute(
     val id: RouteId,
     val host: String,
     val prefix: String,
     val kind: RequestKind,
     val timeout: Duration,
-    val objective: Duration,
+    val latencyObjective: Duration,
     val priority: Int,
     val attempts: Int,
     val shares: List<ServiceShare>,
     val open: Boolean,
-    val homes: Set<RegionId>,
+    val homeRegions: Set<RegionId>,
 )
 
 /** How the weights of a service's models are cut into pieces. */
 data class WeightLayout(
     val models: List<ModelId>,
     val layers: Int,
-    val pieces: Int,
-    val pieceBytes: Int,
+    val chunkCount: Int,
+    val chunkBytes: Int,
 )
 
 /** [coldRequestsPerSecond] is what a back end bears just after its start, or null when it has no such bound. */
 data class ServingService(
     val id: ServiceId,
-    val connections: Int,
+    val maxConnections: Int,
     val coldRequestsPerSecond: Double?,
     val weights: WeightLayout?,
     val origin: Address?,
@@ -71,9 +71,9 @@
 
 data class ServingCustomer(
     val id: CustomerId,
-    val keys: Set<String>,
+    val apiKeys: Set<String>,
     val priority: Int?,
-    val homes: Set<RegionId>,
+    val homeRegions: Set<RegionId>,
 )
 
 /** What a caller may send and how long it may take. */
@@ -84,7 +84,7 @@
     val idleTimeout: Duration,
 )
 
-data class ServingSet(
+data class ServingConfiguration(
     val revision: Revision,
     val routes: List<ServingRoute>,
     val services: List<ServingService>,
@@ -92,7 +92,7 @@
     val limits: CallerLimits,
 ) {
     private val routesByHost = routes.groupBy { it.host }.mapValues { (_, routes) -> routes.sortedByDescending { it.prefix.length } }
-    private val customersByKey = customers.flatMap { customer -> customer.keys.map { it to customer } }.toMap()
+    private val customersByKey = customers.flatMap { customer -> customer.apiKeys.map { it to customer } }.toMap()
     private val servicesById = services.associateBy { it.id }
 
     /** The route of [host] with the longest prefix of [path]. */
@@ -101,11 +101,11 @@
         path: String,
     ): ServingRoute? = routesByHost[host]?.firstOrNull { path.startsWith(it.prefix) }
 
-    fun customerOf(key: String): ServingCustomer? = customersByKey[key]
+    fun customerByApiKey(key: String): ServingCustomer? = customersByKey[key]
 
     fun service(id: ServiceId): ServingService? = servicesById[id]
 
-    val asksForKeys: Boolean get() = customers.isNotEmpty()
+    val requiresApiKeys: Boolean get() = customers.isNotEmpty()
 }
 
 /** The weights that a back end holds: the first [layers] layers, without a gap. */
@@ -129,28 +129,28 @@
 )
 
 /** One item of the platform's store after it was read. */
-sealed class Published {
-    data class Serving(
-        val set: ServingSet,
-    ) : Published()
+sealed class StoreRecord {
+    data class Configuration(
+        val set: ServingConfiguration,
+    ) : StoreRecord()
 
     /** Nothing new is to be sent to back ends of [domain] while this item is there. */
-    data class Evacuated(
+    data class DomainEvacuation(
         val domain: DomainId,
-    ) : Published()
+    ) : StoreRecord()
 
     /** [number] is the version that back ends of [model] are to hold. */
-    data class Declared(
+    data class VersionDeclaration(
         val model: ModelId,
         val number: WeightNumber,
-    ) : Published()
+    ) : StoreRecord()
 
     data class Registered(
         val backEnd: BackEnd,
-    ) : Published()
+    ) : StoreRecord()
 
     /** An item that says nothing usable; [detail] names what is wrong with it. */
-    data class Unusable(
+    data class Unreadable(
         val detail: String,
-    ) : Published()
+    ) : StoreRecord()
 }
--- a/model/src/main/kotlin/lagoonrudder/model/Ids.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/Ids.kt
@@ -67,7 +67,7 @@
 
 /** The caller's own name for an operation that may run at most once. */
 @JvmInline
-value class RepeatKey(
+value class IdempotencyKey(
     val text: String,
 )
 
--- a/model/src/main/kotlin/lagoonrudder/model/ObjectSet.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/ObjectSet.kt
@@ -40,7 +40,7 @@
         routesByPath.firstOrNull { path == it.path || path.startsWith(it.path.trimEnd('/') + "/") }
 
     /** Whether operators let new work reach [target]: it and its failure domain are in service. */
-    fun inService(target: OperatorObject.Target): Boolean = target.service == Service.IN && domains[target.domain]?.service == Service.IN
+    fun inService(target: OperatorObject.Target): Boolean = target.service == AdminState.IN && domains[target.domain]?.service == AdminState.IN
 
     /** The region of [domain], or null when the set has no such domain. */
     fun regionOf(domain: DomainId): RegionId? = domains[domain]?.region
@@ -84,19 +84,19 @@
     )
 
 /** A checked set with its revision: what is in force in a process. */
-class SealedSet(
+class ObjectSnapshot(
     val revision: Revision,
     val objects: ObjectSet,
 ) {
     val digest: Digest get() = objects.digest
 
     companion object {
-        val EMPTY = SealedSet(Revision.NONE, ObjectSet.EMPTY)
+        val EMPTY = ObjectSnapshot(Revision.NONE, ObjectSet.EMPTY)
     }
 }
 
 /** Sealed changes: from [base] to [revision], whose whole set has [digest]. */
-data class SealedChanges(
+data class SnapshotDelta(
     val base: Revision,
     val baseDigest: Digest,
     val revision: Revision,
--- a/model/src/main/kotlin/lagoonrudder/model/ObjectSetBuilder.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/ObjectSetBuilder.kt
@@ -34,7 +34,7 @@
     fun domain(
         name: String,
         region: String = name,
-        service: Service = Service.IN,
+        service: AdminState = AdminState.IN,
     ) {
         objects += OperatorObject.Domain(DomainId(name), RegionId(region), service)
     }
@@ -80,7 +80,7 @@
         name: String,
         fleet: String,
         domain: String,
-        service: Service = Service.IN,
+        service: AdminState = AdminState.IN,
         requests: Int = 16,
         memoryTokens: Long = 100_000,
         weightBytes: Long = Long.MAX_VALUE,
--- a/model/src/main/kotlin/lagoonrudder/model/Objects.kt
+++ b/model/src/main/kotlin/lagoonrudder/model/Objects.kt
@@ -40,7 +40,7 @@
 )
 
 /** Whether operators have taken a failure domain or a target out of service. */
-enum class Service { IN, OUT }
+enum class AdminState { IN, OUT }
 
 enum class FleetKind { ENGINE, PLAIN }
 
@@ -83,7 +83,7 @@
     data class Domain(
         val id: DomainId,
         val region: RegionId,
-        val service: Service,
+        val service: AdminState,
     ) : OperatorObject() {
         override val key get() = ObjectKey(ObjectKind.DOMAIN, id.text)
 
@@ -173,7 +173,7 @@
         val id: TargetId,
         val fleet: FleetId,
         val domain: DomainId,
-        val service: Service,
+        val service: AdminState,
         val weightBytes: Long,
         val memoryTokens: Long,
         val requests: Int,
--- a/model/src/test/kotlin/lagoonrudder/model/ObjectCheckTest.kt
+++ b/model/src/test/kotlin/lagoonrudder/model/ObjectCheckTest.kt
@@ -77,7 +77,7 @@
                 objectSet {
                     base()
                     customer("wien")
-                    domain("ost", service = Service.OUT)
+                    domain("ost", service = AdminState.OUT)
                 }
             before.plus(changesBetween(before, after)).digest shouldBe after.digest
             after.plus(changesBetween(after, before)).digest shouldBe before.digest
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/Caller.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/Caller.kt
@@ -31,47 +31,47 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** How a call ended for its caller. */
-sealed class CallEnd {
+sealed class Reply {
     /** The whole answer came; [firstByte] and [total] count from the start of the call. */
-    data class Whole(
+    data class Complete(
         val text: String,
         val version: String,
         val firstByte: Duration,
         val total: Duration,
         val gaps: List<Duration>,
-    ) : CallEnd()
+    ) : Reply()
 
     /** The system said that the request did not run. */
     data class NotRun(
         val code: String,
         val total: Duration,
         val retryAfter: Duration?,
-    ) : CallEnd()
+    ) : Reply()
 
     /** The system said that it does not know. */
     data class Unknown(
         val detail: String,
-    ) : CallEnd()
+    ) : Reply()
 
     /** The answer broke visibly, or there was none. */
     data class Broken(
         val detail: String,
-    ) : CallEnd()
+    ) : Reply()
 
     /** The answer claimed to be whole and was not what it should be. */
     data class Wrong(
         val detail: String,
-    ) : CallEnd()
+    ) : Reply()
 }
 
-/** A request for text as a caller makes it; [pause] is what the caller waits after each event that it reads. */
+/** A request for text as a caller makes it; [readDelay] is what the caller waits after each event that it reads. */
 data class TextCall(
     val path: String,
     val token: String,
     val prompt: String,
     val tokens: Int,
     val limit: Duration = 20.seconds,
-    val pause: Duration = Duration.ZERO,
+    val readDelay: Duration = Duration.ZERO,
 )
 
 class Caller(
@@ -81,7 +81,7 @@
     suspend fun text(
         entry: Address,
         call: TextCall,
-    ): CallEnd =
+    ): Reply =
         guarded(call.limit) {
             val body =
                 buildJsonObject {
@@ -113,7 +113,7 @@
         key: String,
         body: String,
         limit: Duration = 20.seconds,
-    ): CallEnd =
+    ): Reply =
         guarded(limit) {
             val started = clock.elapsed()
             val request =
@@ -126,7 +126,7 @@
                 if (response.status == HttpStatusCode.OK) {
                     val text = response.bodyAsText()
                     val took = clock.elapsed() - started
-                    if (text == "{\"done\":\"$body\"}") CallEnd.Whole(text, "", took, took, emptyList()) else CallEnd.Wrong(text)
+                    if (text == "{\"done\":\"$body\"}") Reply.Complete(text, "", took, took, emptyList()) else Reply.Wrong(text)
                 } else {
                     problem(response, started)
                 }
@@ -137,20 +137,20 @@
         response: HttpResponse,
         call: TextCall,
         started: Duration,
-    ): CallEnd {
+    ): Reply {
         val lines = response.bodyAsChannel()
         val text = StringBuilder()
         val times = mutableListOf<Duration>()
         var ending = false
         while (true) {
-            val line = lines.readLine() ?: return CallEnd.Broken("ended without its end event after ${text.length}")
+            val line = lines.readLine() ?: return Reply.Broken("ended without its end event after ${text.length}")
             when {
                 line == "event: end" -> ending = true
                 ending && line.startsWith(DATA) -> return judge(line.removePrefix(DATA), text.toString(), call, started, times)
                 line.startsWith(DATA) -> {
                     text.append(Json.decodeFromString(CompletionTextJson.serializer(), line.removePrefix(DATA)).text)
                     times += clock.elapsed()
-                    if (call.pause > Duration.ZERO) delay(call.pause)
+                    if (call.readDelay > Duration.ZERO) delay(call.readDelay)
                 }
             }
         }
@@ -162,35 +162,35 @@
         call: TextCall,
         started: Duration,
         times: List<Duration>,
-    ): CallEnd {
+    ): Reply {
         val end = Json.decodeFromString(CompletionEndJson.serializer(), line)
-        if (text != wholeAnswer(end.version, call.prompt, call.tokens)) return CallEnd.Wrong("length ${text.length} version ${end.version}")
+        if (text != expectedText(end.version, call.prompt, call.tokens)) return Reply.Wrong("length ${text.length} version ${end.version}")
         val first = (times.firstOrNull() ?: clock.elapsed()) - started
-        return CallEnd.Whole(text, end.version, first, clock.elapsed() - started, times.zipWithNext { one, two -> two - one })
+        return Reply.Complete(text, end.version, first, clock.elapsed() - started, times.zipWithNext { one, two -> two - one })
     }
 
     private suspend fun problem(
         response: HttpResponse,
         started: Duration,
-    ): CallEnd {
+    ): Reply {
         val problem = Json.decodeFromString(ProblemJson.serializer(), response.bodyAsText())
         val detail = "${problem.code} step=${problem.step} peer=${problem.peer} ${problem.detail}"
         val retryAfter = response.headers[HttpHeaders.RetryAfter]?.toLongOrNull()?.seconds
-        return if (problem.outcome == "not-run") CallEnd.NotRun(detail, clock.elapsed() - started, retryAfter) else CallEnd.Unknown(detail)
+        return if (problem.outcome == "not-run") Reply.NotRun(detail, clock.elapsed() - started, retryAfter) else Reply.Unknown(detail)
     }
 
     private suspend fun guarded(
         limit: Duration,
-        call: suspend () -> CallEnd,
-    ): CallEnd =
+        call: suspend () -> Reply,
+    ): Reply =
         try {
-            withTimeoutOrNull(limit) { call() } ?: CallEnd.Broken("no end within $limit")
+            withTimeoutOrNull(limit) { call() } ?: Reply.Broken("no end within $limit")
         } catch (cancelled: CancellationException) {
             throw cancelled
         } catch (
             @Suppress("TooGenericExceptionCaught") broken: Exception,
         ) {
-            CallEnd.Broken("${broken::class.simpleName} ${broken.message}")
+            Reply.Broken("${broken::class.simpleName} ${broken.message}")
         }
 
     private companion object {
@@ -199,7 +199,7 @@
 }
 
 /** A version 7 UUID for the time [milliseconds] since the epoch. */
-fun keyIssuedAt(
+fun uuidV7At(
     milliseconds: Long,
     random: Random = Random.Default,
 ): String {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/Demo.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/Demo.kt
@@ -11,11 +11,11 @@
 import kotlinx.coroutines.isActive
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.runBlocking
-import lagoonrudder.control.RepeatPolicy
+import lagoonrudder.control.IdempotencyPolicy
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.ObjectChanges
 import lagoonrudder.model.ObjectSet
-import lagoonrudder.model.Service
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.SystemClock
 import lagoonrudder.model.VersionId
 import java.util.concurrent.ConcurrentHashMap
@@ -30,21 +30,21 @@
 fun main(arguments: Array<String>) {
     allowManyServers()
     val names = if (arguments.firstOrNull() == "tadla") tadla else festival
-    val verdict = runBlocking { Demo(names, site { build = { repeats = RepeatPolicy(clockSkew = 200.milliseconds) } }).run() }
+    val verdict = runBlocking { Demo(names, site { build = { repeats = IdempotencyPolicy(clockSkew = 200.milliseconds) } }).run() }
     exitProcess(if (verdict) 0 else 1)
 }
 
 /** Counts of one kind of calls by their end. */
-class Ends {
-    val all = ConcurrentLinkedQueue<CallEnd>()
+class Replies {
+    val all = ConcurrentLinkedQueue<Reply>()
 
-    fun add(end: CallEnd) {
+    fun add(end: Reply) {
         all += end
     }
 
-    inline fun <reified T : CallEnd> count(): Int = all.count { it is T }
+    inline fun <reified T : Reply> count(): Int = all.count { it is T }
 
-    val firstBytes: List<Duration> get() = all.filterIsInstance<CallEnd.Whole>().map { it.firstByte }
+    val firstBytes: List<Duration> get() = all.filterIsInstance<Reply.Complete>().map { it.firstByte }
 }
 
 /** The value below which [share] of [values] lie; zero when there are none. */
@@ -59,8 +59,8 @@
 ) {
     private val clock = SystemClock()
     private val caller = Caller(site.http)
-    private val texts = Ends()
-    private val orders = Ends()
+    private val texts = Replies()
+    private val orders = Replies()
     private val sent = AtomicInteger()
     private val bodies = ConcurrentHashMap.newKeySet<String>()
 
@@ -108,7 +108,7 @@
         val random = Random(number)
         while (isActive) {
             val body = "order-${sent.incrementAndGet()}"
-            val key = keyIssuedAt(System.currentTimeMillis(), random)
+            val key = uuidV7At(System.currentTimeMillis(), random)
             bodies += body
             val end = caller.order(entryFor(random), "/v1/${names.ledger}", "token-${names.customers.random(random)}", key, body)
             orders.add(end)
@@ -125,8 +125,8 @@
             .addresses.callers
             .let(::checkNotNull)
 
-    private suspend fun pauseAfter(end: CallEnd) {
-        if (end is CallEnd.NotRun) delay(REFUSED_PAUSE)
+    private suspend fun pauseAfter(end: Reply) {
+        if (end is Reply.NotRun) delay(REFUSED_PAUSE)
     }
 
     private suspend fun rollOut(
@@ -145,7 +145,7 @@
         val domain = DomainId(names.domains.last())
         say("taking failure domain ${domain.text} out of service")
         val published = clock.elapsed()
-        site.publish(withService(objects, domain, Service.OUT))
+        site.publish(withAdminState(objects, domain, AdminState.OUT))
         delay(OUT_LIMIT)
         val begunAtLimit = begunIn(domain)
         delay(OUT_WATCH)
@@ -176,19 +176,19 @@
                 .groupBy({ it.key }, { it.value })
                 .mapValues { it.value.sum() }
         val double = runs.count { it.value > 1 }
-        val wrong = texts.count<CallEnd.Wrong>() + orders.count<CallEnd.Wrong>()
-        val broken = texts.count<CallEnd.Broken>() + orders.count<CallEnd.Broken>()
+        val wrong = texts.count<Reply.Wrong>() + orders.count<Reply.Wrong>()
+        val broken = texts.count<Reply.Broken>() + orders.count<Reply.Broken>()
         val copies =
             site.origin.bytesGiven
                 .get()
                 .toDouble() / sampleWeights("any").bytes
-        val holds = double == 0 && wrong == 0 && broken == 0 && site.violations.isEmpty() && texts.count<CallEnd.Whole>() > 0
+        val holds = double == 0 && wrong == 0 && broken == 0 && site.violations.isEmpty() && texts.count<Reply.Complete>() > 0
         println(
-            "texts=${texts.all.size} whole=${texts.count<CallEnd.Whole>()} not-run=${texts.count<CallEnd.NotRun>()} " +
-                "unknown=${texts.count<CallEnd.Unknown>()} broken=$broken wrong=$wrong " +
+            "texts=${texts.all.size} whole=${texts.count<Reply.Complete>()} not-run=${texts.count<Reply.NotRun>()} " +
+                "unknown=${texts.count<Reply.Unknown>()} broken=$broken wrong=$wrong " +
                 "first-byte-p50=${percentile(texts.firstBytes, 0.5)} first-byte-p95=${percentile(texts.firstBytes, 0.95)} " +
-                "orders=${orders.all.size} orders-done=${orders.count<CallEnd.Whole>()} orders-not-run=${orders.count<CallEnd.NotRun>()} " +
-                "orders-unknown=${orders.count<CallEnd.Unknown>()} double-runs=$double ready=$ready roll-out=$rollOut " +
+                "orders=${orders.all.size} orders-done=${orders.count<Reply.Complete>()} orders-not-run=${orders.count<Reply.NotRun>()} " +
+                "orders-unknown=${orders.count<Reply.Unknown>()} double-runs=$double ready=$ready roll-out=$rollOut " +
                 "origin-copies=${"%.2f".format(copies)} out-and-back=$outTime violations=${site.violations.size} " +
                 "verdict=${if (holds) "holds" else "broken"}",
         )
@@ -197,7 +197,7 @@
     }
 
     private fun showProblems() {
-        (texts.all + orders.all).filter { it is CallEnd.Broken || it is CallEnd.Wrong }.take(SHOWN).forEach { println("problem: $it") }
+        (texts.all + orders.all).filter { it is Reply.Broken || it is Reply.Wrong }.take(SHOWN).forEach { println("problem: $it") }
         site.violations.take(SHOWN).forEach { println("violation: $it") }
     }
 
@@ -218,10 +218,10 @@
 }
 
 /** [objects] with the service of [domain] changed. */
-fun withService(
+fun withAdminState(
     objects: ObjectSet,
     domain: DomainId,
-    service: Service,
+    service: AdminState,
 ): ObjectSet {
     val changed = objects.domains.getValue(domain).copy(service = service)
     return objects.plus(ObjectChanges(listOf(changed), emptyList()))
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/EngineLoad.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/EngineLoad.kt
@@ -9,14 +9,14 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** How an engine behaves. [coldRequests] is what it bears when fresh, [warmRequests] after [warmUp]. */
+/** How an engine behaves. [coldCapacity] is what it bears when fresh, [warmCapacity] after [warmUp]. */
 data class EngineTraits(
-    val coldRequests: Int = 3,
-    val warmRequests: Int = 16,
+    val coldCapacity: Int = 3,
+    val warmCapacity: Int = 16,
     val warmUp: Duration = 5.seconds,
-    val firstToken: Duration = 40.milliseconds,
+    val firstTokenDelay: Duration = 40.milliseconds,
     val tokenInterval: Duration = 10.milliseconds,
-    val fallsOverAt: Double = 3.0,
+    val crashLoadFactor: Double = 3.0,
     val memoryTokens: Long = 100_000,
     val downTime: Duration = 2.seconds,
     val loadTime: Duration = 300.milliseconds,
@@ -33,28 +33,28 @@
     fun requests(): Int = requests.get()
 
     /** Takes a request in; false when the engine falls over under it. [age] is the time since the engine started. */
-    fun enter(
+    fun admit(
         tokens: Long,
         age: Duration,
     ): Boolean {
         val now = requests.incrementAndGet()
         val held = this.tokens.addAndGet(tokens)
-        return now <= bears(age) * traits.fallsOverAt && held <= traits.memoryTokens
+        return now <= bears(age) * traits.crashLoadFactor && held <= traits.memoryTokens
     }
 
-    fun leave(tokens: Long) {
+    fun release(tokens: Long) {
         requests.decrementAndGet()
         this.tokens.addAndGet(-tokens)
     }
 
     /** How many times slower than alone a request runs now. */
-    fun slowness(age: Duration): Double {
+    fun slowdown(age: Duration): Double {
         val load = requests.get() / bears(age)
         return if (load <= 1.0) 1.0 else load * load
     }
 
     private fun bears(age: Duration): Double {
         val warmth = (age / traits.warmUp).coerceIn(0.0, 1.0)
-        return traits.coldRequests + (traits.warmRequests - traits.coldRequests) * warmth
+        return traits.coldCapacity + (traits.warmCapacity - traits.coldCapacity) * warmth
     }
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/EngineStandIn.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/FakeEngine.kt
@@ -38,11 +38,11 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-class EngineStandIn(
+class FakeEngine(
     private val traits: EngineTraits = EngineTraits(),
     private val clock: Clock = SystemClock(),
 ) : AutoCloseable {
-    private val server = HttpStandIn { handle(it) }
+    private val server = LoopbackHttpServer { handle(it) }
     private val chunks = HashMap<String, MutableSet<Int>>()
 
     @Volatile
@@ -72,7 +72,7 @@
     val begun = AtomicLong()
     val ended = AtomicLong()
     val cancelled = AtomicLong()
-    val falls = AtomicInteger()
+    val crashes = AtomicInteger()
     val mostInFlight = AtomicInteger()
 
     /** Version loads that were carried out, in order. */
@@ -172,9 +172,9 @@
         request: GenerateJson,
     ) {
         val served = version
-        val tokens = request.maximumTokens + request.prompt.length / TOKEN_CHARACTERS.toLong()
+        val tokens = request.maximumTokens + request.prompt.length / TOKEN_LENGTH.toLong()
         if (served == null || loading) return call.respondText("", status = HttpStatusCode.ServiceUnavailable)
-        enter(tokens)
+        admit(tokens)
         val own = incarnation
         begun.incrementAndGet()
         try {
@@ -184,15 +184,15 @@
             cancelled.incrementAndGet()
             throw gone
         } finally {
-            load.leave(tokens)
+            load.release(tokens)
         }
     }
 
-    private fun enter(tokens: Long) {
-        val stands = load.enter(tokens, clock.elapsed() - startedAt)
+    private fun admit(tokens: Long) {
+        val stands = load.admit(tokens, clock.elapsed() - startedAt)
         mostInFlight.accumulateAndGet(load.requests(), ::maxOf)
         if (stands) return
-        falls.incrementAndGet()
+        crashes.incrementAndGet()
         restart()
     }
 
@@ -202,18 +202,18 @@
         own: String,
     ) {
         line(EngineLineJson(start = StartJson(own, served)))
-        delay(traits.firstToken * slowness() + (request.prompt.length / PREFILL_CHARACTERS).milliseconds)
+        delay(traits.firstTokenDelay * slowdown() + (request.prompt.length / PREFILL_CHARACTERS).milliseconds)
         val sum = CRC32C()
         var offset = request.offset
-        val length = request.maximumTokens.toLong() * TOKEN_CHARACTERS
+        val length = request.maximumTokens.toLong() * TOKEN_LENGTH
         while (offset < length) {
             while (silent) delay(SILENCE_CHECK)
             if (own != incarnation) throw IOException("the engine fell over")
-            val text = textOf(served, request.prompt, offset, partial)
+            val text = tokenAt(served, request.prompt, offset, partial)
             sum.update(text.encodeToByteArray())
             line(EngineLineJson(text = TextJson(offset, text)))
             offset += text.length
-            delay(traits.tokenInterval * slowness())
+            delay(traits.tokenInterval * slowdown())
         }
         line(EngineLineJson(end = EndJson(version ?: "", length, sum.value)))
     }
@@ -223,7 +223,7 @@
         flush()
     }
 
-    private fun slowness(): Double = load.slowness(clock.elapsed() - startedAt)
+    private fun slowdown(): Double = load.slowdown(clock.elapsed() - startedAt)
 
     private companion object {
         const val INCARNATION_LENGTH = 8
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/OriginStandIn.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/FakeOrigin.kt
@@ -17,12 +17,12 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class OriginStandIn(
+class FakeOrigin(
     private val bytesPerSecond: Long,
 ) : AutoCloseable {
     private val versions = ConcurrentHashMap<String, SyntheticWeights>()
     private val link = Mutex()
-    private val server = HttpStandIn { handle(it) }
+    private val server = LoopbackHttpServer { handle(it) }
 
     val address: Address get() = server.address
 
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/PlainServiceStandIn.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/FakePlainService.kt
@@ -16,10 +16,10 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-class PlainServiceStandIn(
+class FakePlainService(
     private val time: Duration = 10.milliseconds,
 ) : AutoCloseable {
-    private val server = HttpStandIn { handle(it) }
+    private val server = LoopbackHttpServer { handle(it) }
     private val incarnation = UUID.randomUUID().toString()
 
     val address: Address get() = server.address
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/PlatformStandIn.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/FakePlatform.kt
@@ -16,7 +16,7 @@
 import lagoonrudder.model.Address
 import lagoonrudder.model.DaemonId
 import lagoonrudder.model.Instance
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.wire.documents.HEAD_KEY
 import lagoonrudder.wire.documents.SealedDocument
 import lagoonrudder.wire.documents.partKey
@@ -26,7 +26,7 @@
 import java.util.concurrent.atomic.AtomicLong
 import kotlin.time.Duration.Companion.milliseconds
 
-class PlatformStandIn(
+class FakePlatform(
     port: Int = 0,
 ) : AutoCloseable {
     private class Value(
@@ -36,8 +36,8 @@
 
     private val values = ConcurrentHashMap<String, MutableStateFlow<Value>>()
     private val instances = LinkedHashMap<DaemonId, Instance>()
-    private val server = HttpStandIn(port) { handle(it) }
-    private var sealed = SealedSet.EMPTY
+    private val server = LoopbackHttpServer(port) { handle(it) }
+    private var sealed = ObjectSnapshot.EMPTY
 
     val address: Address get() = server.address
 
@@ -50,7 +50,7 @@
 
     /** Seals [set] after the set published last and publishes it. */
     @Synchronized
-    fun publish(set: SealedSet) {
+    fun publish(set: ObjectSnapshot) {
         val document = seal(set, sealed, "published").getOrNull() ?: error("revision ${set.revision.number} can't be sealed")
         sealed = set
         publish(document)
@@ -64,7 +64,7 @@
 
     /** The set published last. */
     @Synchronized
-    fun published(): SealedSet = sealed
+    fun published(): ObjectSnapshot = sealed
 
     @Synchronized
     fun list(instance: Instance) {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/HttpStandIn.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/LoopbackHttpServer.kt
@@ -17,7 +17,7 @@
 const val LOOPBACK = "127.0.0.1"
 private const val GRACE_MILLISECONDS = 50L
 
-class HttpStandIn(
+class LoopbackHttpServer(
     port: Int = 0,
     handle: suspend (ApplicationCall) -> Unit,
 ) : AutoCloseable {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/Site.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/Site.kt
@@ -10,9 +10,9 @@
 import lagoonrudder.daemon.DaemonAddresses
 import lagoonrudder.daemon.DaemonOptions
 import lagoonrudder.daemon.daemon
-import lagoonrudder.daemon.operators.DaemonView
+import lagoonrudder.daemon.operators.DaemonDiagnostics
 import lagoonrudder.daemon.platform.httpClient
-import lagoonrudder.daemon.settings.DEFAULT_LIMITS
+import lagoonrudder.daemon.settings.DEFAULT_LIMIT_SETTINGS
 import lagoonrudder.daemon.settings.DaemonSettings
 import lagoonrudder.daemon.settings.ListenSettings
 import lagoonrudder.daemon.settings.PlatformSettings
@@ -26,7 +26,7 @@
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.Violation
@@ -38,14 +38,14 @@
 
 /** How a site is built. */
 class SiteOptions {
-    var entriesEach: Int = 2
+    var entriesPerDomain: Int = 2
     var originBytesPerSecond: Long = 20_000_000
     var engine: EngineTraits = EngineTraits()
     var build: DaemonOptions.() -> Unit = {}
 }
 
 /** A running daemon of a site. */
-class Placed(
+class RunningDaemon(
     val daemon: Daemon,
     val addresses: DaemonAddresses,
     val settings: DaemonSettings,
@@ -55,18 +55,18 @@
     private val options: SiteOptions,
 ) : AutoCloseable {
     val http: HttpClient = httpClient()
-    val platform = PlatformStandIn()
-    val origin = OriginStandIn(options.originBytesPerSecond)
-    val engines = ConcurrentHashMap<TargetId, EngineStandIn>()
-    val services = ConcurrentHashMap<TargetId, PlainServiceStandIn>()
-    val daemons = ConcurrentHashMap<DaemonId, Placed>()
+    val platform = FakePlatform()
+    val origin = FakeOrigin(options.originBytesPerSecond)
+    val engines = ConcurrentHashMap<TargetId, FakeEngine>()
+    val services = ConcurrentHashMap<TargetId, FakePlainService>()
+    val daemons = ConcurrentHashMap<DaemonId, RunningDaemon>()
     val violations = ConcurrentLinkedQueue<Violation>()
 
     /** Publishes [objects] as the next revision. */
     fun publish(objects: ObjectSet): Revision {
         objects.versions.values.forEach { origin.publish(it.id.text, SyntheticWeights(it.id.text, it.bytes, it.chunkBytes)) }
         val revision = Revision(platform.published().revision.number + 1)
-        platform.publish(SealedSet(revision, objects))
+        platform.publish(ObjectSnapshot(revision, objects))
         return revision
     }
 
@@ -74,24 +74,24 @@
     suspend fun start(objects: ObjectSet) {
         publish(objects)
         for (target in objects.targets.values) startTarget(target, objects)
-        for (domain in objects.domains.keys) repeat(options.entriesEach) { startEntry(domain, it + 1) }
+        for (domain in objects.domains.keys) repeat(options.entriesPerDomain) { startEntry(domain, it + 1) }
     }
 
     suspend fun startEntry(
         domain: DomainId,
         number: Int,
-    ): Placed = start(settings(DaemonId("${domain.text}-entry-$number"), DaemonRole.ENTRY, domain, null))
+    ): RunningDaemon = start(settings(DaemonId("${domain.text}-entry-$number"), DaemonRole.ENTRY, domain, null))
 
     suspend fun startTarget(
         target: OperatorObject.Target,
         objects: ObjectSet,
-    ): Placed {
+    ): RunningDaemon {
         val slot = SlotSettings(target.id, backEndOf(target, objects))
         return start(settings(DaemonId("${target.id.text}-daemon"), DaemonRole.TARGET, target.domain, slot))
     }
 
     /** Starts a daemon with [settings] and lists it. */
-    suspend fun start(settings: DaemonSettings): Placed {
+    suspend fun start(settings: DaemonSettings): RunningDaemon {
         val client = http
         val daemon =
             daemon(settings) {
@@ -100,7 +100,7 @@
                 options.build(this)
             }
         val addresses = daemon.start()
-        val placed = Placed(daemon, addresses, settings)
+        val placed = RunningDaemon(daemon, addresses, settings)
         daemons[settings.name] = placed
         platform.list(Instance(settings.name, settings.role, settings.domain, settings.slot?.target, addresses.rpc, false))
         return placed
@@ -137,9 +137,9 @@
     suspend fun awaitReady(limit: Duration = HANG_GUARD) = await(limit) { daemons.values.all { statusOf(it).contains("ready=true") } }
 
     /** The status line of a daemon. */
-    suspend fun statusOf(placed: Placed): String {
+    suspend fun statusOf(placed: RunningDaemon): String {
         val daemon = placed.daemon
-        val view = daemon as DaemonView
+        val view = daemon as DaemonDiagnostics
         return daemon.core.thread.decide { view.status() }
     }
 
@@ -157,8 +157,8 @@
         objects: ObjectSet,
     ): Address =
         when (objects.fleets[target.fleet]?.kind) {
-            FleetKind.ENGINE -> engines.getOrPut(target.id) { EngineStandIn(options.engine) }.address
-            FleetKind.PLAIN, null -> services.getOrPut(target.id) { PlainServiceStandIn() }.address
+            FleetKind.ENGINE -> engines.getOrPut(target.id) { FakeEngine(options.engine) }.address
+            FleetKind.PLAIN, null -> services.getOrPut(target.id) { FakePlainService() }.address
         }
 
     private fun settings(
@@ -176,7 +176,7 @@
             platform = PlatformSettings(platform.address, origin.address),
             seeds = daemons.values.take(SEEDS).map { it.addresses.rpc },
             slot = slot,
-            limits = DEFAULT_LIMITS,
+            limits = DEFAULT_LIMIT_SETTINGS,
         )
     }
 
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/DirectSite.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/DirectSite.kt
@@ -12,16 +12,16 @@
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
 import lagoonrudder.control.direct.PlacementBounds
-import lagoonrudder.control.direct.RepeatBounds
+import lagoonrudder.control.direct.RetryBudgetBounds
 import lagoonrudder.daemon.direct.DirectBounds
 import lagoonrudder.daemon.direct.DirectCore
-import lagoonrudder.daemon.direct.DirectListen
+import lagoonrudder.daemon.direct.DirectListenSettings
 import lagoonrudder.daemon.direct.DirectSettings
-import lagoonrudder.daemon.direct.DirectSlot
+import lagoonrudder.daemon.direct.DirectSlotSettings
 import lagoonrudder.daemon.direct.directDaemon
 import lagoonrudder.http.HttpClient
 import lagoonrudder.http.HttpHandler
-import lagoonrudder.http.HttpLoop
+import lagoonrudder.http.HttpEventLoop
 import lagoonrudder.http.HttpRequest
 import lagoonrudder.http.HttpResponse
 import lagoonrudder.http.HttpServer
@@ -46,26 +46,26 @@
     entries: Int,
     workers: Int,
 ) : AutoCloseable {
-    private val loop = HttpLoop("site")
+    private val loop = HttpEventLoop("site")
     private val scope = CoroutineScope(SupervisorJob() + loop.dispatcher)
     private val clock = SystemClock()
     private val client = HttpClient(loop, clock)
     private val servers = mutableListOf<HttpServer>()
     private val cores = mutableListOf<DirectCore>()
-    val store = StoreStandIn()
-    val origin = WeightOriginStandIn()
-    val workers = (1..workers).map { WorkerStandIn("i-$it", scope) }
+    val store = FakeStore()
+    val origin = FakeWeightOrigin()
+    val workers = (1..workers).map { FakeWorker("i-$it", scope) }
     private val storeAddress = listen(store)
     private val originAddress = listen(origin)
     private val workerAddresses = this.workers.map { listen(it) }
-    private val entryListens = (1..entries).map { DirectListen(free(), free(), free()) }
+    private val entryListens = (1..entries).map { DirectListenSettings(free(), free(), free()) }
     private var requests = 0
 
     init {
         onLoop { publish(revision = 1) }
         entryListens.forEachIndexed { index, listen -> start(settings("entry-$index", DaemonRole.ENTRY, listen, null)) }
         workerAddresses.forEachIndexed { index, address ->
-            start(settings("target-$index", DaemonRole.TARGET, null, DirectSlot(SERVICE, address)))
+            start(settings("target-$index", DaemonRole.TARGET, null, DirectSlotSettings(SERVICE, address)))
         }
     }
 
@@ -83,7 +83,7 @@
                 put("slots", SLOTS)
                 put("state", "ready")
                 put("coldLeftMs", 0)
-                put("born", WorkerStandIn.BORN)
+                put("born", FakeWorker.BORN)
                 with(worker) { holding() }
             }.toString(),
         )
@@ -165,8 +165,8 @@
     private fun settings(
         name: String,
         role: DaemonRole,
-        listen: DirectListen?,
-        slot: DirectSlot?,
+        listen: DirectListenSettings?,
+        slot: DirectSlotSettings?,
     ) = DirectSettings(
         name = DaemonId(name),
         role = role,
@@ -178,7 +178,7 @@
         seeds = entryListens.take(1).map { it.peers },
         store = storeAddress,
         slot = slot,
-        bounds = DirectBounds(PlacementBounds(8.seconds, 1.5, 5.0), RepeatBounds(0.2, 10.seconds, 100.0), 2.seconds),
+        bounds = DirectBounds(PlacementBounds(8.seconds, 1.5, 5.0), RetryBudgetBounds(0.2, 10.seconds, 100.0), 2.seconds),
     )
 
     private companion object {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/StoreStandIn.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/FakeStore.kt
@@ -17,7 +17,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /** Every function runs on the loop's thread. */
-class StoreStandIn : HttpHandler {
+class FakeStore : HttpHandler {
     private class Item(
         val revision: Long,
         val value: ByteArray?,
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/WorkerStandIn.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/direct/FakeWorker.kt
@@ -16,7 +16,7 @@
 import kotlinx.serialization.json.putJsonObject
 import lagoonrudder.http.HttpExchange
 import lagoonrudder.http.HttpHandler
-import lagoonrudder.http.HttpHead
+import lagoonrudder.http.HttpResponseHead
 import lagoonrudder.http.HttpRequest
 import lagoonrudder.http.NO_BYTES
 import lagoonrudder.model.HeaderField
@@ -35,10 +35,10 @@
 ): ByteArray = ByteArray(PIECE_BYTES) { (it * 31 + index * 7 + number * 13).toByte() }
 
 /** How a back end treats the next requests. */
-enum class WorkerMood { SOUND, BREAKS_OFF, RESETS_BEFORE_ANSWER, FULL, SILENT }
+enum class WorkerBehavior { SOUND, BREAKS_OFF, RESETS_BEFORE_ANSWER, FULL, SILENT }
 
 /** Every function runs on the loop's thread. */
-class WorkerStandIn(
+class FakeWorker(
     val id: String,
     private val scope: CoroutineScope,
 ) : HttpHandler {
@@ -54,7 +54,7 @@
     var loadedUnsound = false
         private set
 
-    var mood = WorkerMood.SOUND
+    var mood = WorkerBehavior.SOUND
 
     /** The requests that ran here. */
     val ran = mutableListOf<HttpRequest>()
@@ -140,7 +140,7 @@
         val isOld = request.field("Expect-Version")?.let { it.toLong() != held } ?: false
         when {
             isOther || isOld -> exchange.respond(421, emptyList(), NO_BYTES)
-            held == null || loading || mood == WorkerMood.FULL -> exchange.respond(503, listOf(HeaderField("Not-Executed", "1")), NO_BYTES)
+            held == null || loading || mood == WorkerBehavior.FULL -> exchange.respond(503, listOf(HeaderField("Not-Executed", "1")), NO_BYTES)
             else -> run(exchange, held)
         }
     }
@@ -151,8 +151,8 @@
     ) {
         ran += exchange.request
         when (mood) {
-            WorkerMood.RESETS_BEFORE_ANSWER -> return exchange.breakOff()
-            WorkerMood.SILENT -> delay(SILENCE)
+            WorkerBehavior.RESETS_BEFORE_ANSWER -> return exchange.abort()
+            WorkerBehavior.SILENT -> delay(SILENCE)
             else -> Unit
         }
         val fields =
@@ -161,12 +161,12 @@
                 HeaderField("Response-Stamp", "stamp-$id"),
                 HeaderField("Weight-Versions", held.toString()),
             )
-        exchange.begin(HttpHead(200, fields))
+        exchange.begin(HttpResponseHead(200, fields))
         val first = (exchange.request.field("Last-Event-Id")?.toInt() ?: 0) + 1
         for (event in first..EVENTS) {
-            if (event == EVENTS / 2 && mood == WorkerMood.BREAKS_OFF) {
+            if (event == EVENTS / 2 && mood == WorkerBehavior.BREAKS_OFF) {
                 exchange.write("id: $event\nda".encodeToByteArray())
-                return exchange.breakOff()
+                return exchange.abort()
             }
             exchange.write("id: $event\ndata: $event\n\n".encodeToByteArray())
             delay(EVENT_PAUSE)
@@ -184,7 +184,7 @@
 }
 
 /** The origin; [draws] counts the pieces that it sent. */
-class WeightOriginStandIn : HttpHandler {
+class FakeWeightOrigin : HttpHandler {
     var newest = 1L
     var draws = 0
         private set
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ConfigurationMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ConfigurationMeasure.kt
@@ -69,7 +69,7 @@
 
 private suspend fun observe(daemons: Int): Observation {
     val clock = SystemClock()
-    return site { entriesEach = 0 }.use { site ->
+    return site { entriesPerDomain = 0 }.use { site ->
         site.publish(objects(1))
         repeat(daemons) { site.startEntry(DomainId("ost"), it) }
         site.awaitReady()
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ControlMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ControlMeasure.kt
@@ -6,20 +6,20 @@
 import arrow.core.getOrElse
 import lagoonrudder.control.AdmissionController
 import lagoonrudder.control.CheckedSet
-import lagoonrudder.control.ChoicePolicy
+import lagoonrudder.control.LoadBalancingPolicy
 import lagoonrudder.control.ConfigurationController
 import lagoonrudder.control.DispatchController
-import lagoonrudder.control.Dispatched
-import lagoonrudder.control.Need
+import lagoonrudder.control.DispatchResult
+import lagoonrudder.control.RoutingRequest
 import lagoonrudder.control.QueueBounds
-import lagoonrudder.control.QueueLine
+import lagoonrudder.control.QueueKey
 import lagoonrudder.control.QueuePolicy
-import lagoonrudder.control.Room
+import lagoonrudder.control.TargetLoad
 import lagoonrudder.control.RoutingController
-import lagoonrudder.control.SpreadController
-import lagoonrudder.control.SpreadPolicy
+import lagoonrudder.control.DisseminationController
+import lagoonrudder.control.DisseminationPolicy
 import lagoonrudder.control.TargetReport
-import lagoonrudder.control.Waiting
+import lagoonrudder.control.QueuedRequest
 import lagoonrudder.control.startsFrom
 import lagoonrudder.model.CustomerId
 import lagoonrudder.model.DaemonId
@@ -34,12 +34,12 @@
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedChanges
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.SnapshotDelta
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.objectSet
 import lagoonrudder.wire.documents.writeChanges
-import lagoonrudder.wire.documents.writeWhole
+import lagoonrudder.wire.documents.writeSet
 import kotlin.random.Random
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -86,12 +86,12 @@
     objects: ObjectSet,
     seed: Int,
 ): Double {
-    val routing = RoutingController("entry-1", DomainId("d0"), ChoicePolicy.FreshRoom(), Random(seed))
+    val routing = RoutingController("entry-1", DomainId("d0"), LoadBalancingPolicy.FreshRoom(), Random(seed))
     routing.configure(objects, 24)
     val admission = AdmissionController(QueuePolicy.WeightedFair, QueueBounds(), invariants)
     val dispatch = DispatchController(admission, routing)
     for (target in routing.subset()) {
-        routing.reported(TargetReport(target.id, IncarnationId("i"), Room(64, 0, 1_000_000), VersionId("m-1"), true), Duration.ZERO)
+        routing.onTargetReport(TargetReport(target.id, IncarnationId("i"), TargetLoad(64, 0, 1_000_000), VersionId("m-1"), true), Duration.ZERO)
     }
     repeat(WARM_UP) { processRequest(dispatch, routing, it) }
     val elapsed = measureTime { repeat(REQUESTS) { processRequest(dispatch, routing, it) } }
@@ -106,12 +106,12 @@
     val now = 1.milliseconds * (number % 1_000)
     val fleet = FleetId("fleet-${number % 13}")
     val request = RequestId("r$number")
-    val queued = Waiting(request, QueueLine(fleet, null), CustomerId("customer-${number % 100}"), 1, 1, 100, 500, now + 10.seconds)
-    dispatch.enter(queued, Need(fleet, null, 100, 500, number % 50, emptySet()), now)
-    for (result in dispatch.pump(now)) {
-        if (result !is Dispatched.Go) continue
-        routing.roomSeen(result.target, Room(64, 1, 1_000_000), now)
-        dispatch.ended(queued, result.target, failed = false, Duration.ZERO, now)
+    val queued = QueuedRequest(request, QueueKey(fleet, null), CustomerId("customer-${number % 100}"), 1, 1, 100, 500, now + 10.seconds)
+    dispatch.enqueue(queued, RoutingRequest(fleet, null, 100, 500, number % 50, emptySet()), now)
+    for (result in dispatch.dispatchWaiting(now)) {
+        if (result !is DispatchResult.Sent) continue
+        routing.onLoadUpdate(result.target, TargetLoad(64, 1, 1_000_000), now)
+        dispatch.onRequestEnded(queued, result.target, failed = false, Duration.ZERO, now)
     }
 }
 
@@ -119,9 +119,9 @@
 private fun changeCost(targets: Int): String {
     val controller = ConfigurationController(invariants)
     val objects = configurationOf(targets)
-    val routing = RoutingController("entry-1", DomainId("d0"), ChoicePolicy.FreshRoom(), Random(1))
+    val routing = RoutingController("entry-1", DomainId("d0"), LoadBalancingPolicy.FreshRoom(), Random(1))
     val memoryBefore = usedMemory()
-    controller.offer(CheckedSet.ofWhole(SealedSet(Revision(1), objects), controller.current, peer).getOrElse { error(it.describe()) })
+    controller.offer(CheckedSet.ofFullSet(ObjectSnapshot(Revision(1), objects), controller.current, peer).getOrElse { error(it.describe()) })
     var checkTime = Duration.ZERO
     var applyTime = Duration.ZERO
     var bytes = 0
@@ -138,7 +138,7 @@
             }
     }
     val peers = (0 until targets / DOMAINS).map { DaemonId("daemon-$it") }
-    val dissemination = SpreadController(peers.first(), SpreadPolicy.Tree(), Random(1))
+    val dissemination = DisseminationController(peers.first(), DisseminationPolicy.Tree(), Random(1))
     val treeTime = measureTime { repeat(100) { dissemination.children(Revision(it.toLong()), peers) } } / 100
     return figures {
         add("targets", targets)
@@ -146,22 +146,22 @@
         add("put-in-force-on-thread", applyTime)
         add("spread-on-thread", treeTime)
         add("change-bytes", bytes)
-        add("whole-bytes", writeWhole(controller.current).length)
+        add("whole-bytes", writeSet(controller.current).length)
         add("state-megabytes", (usedMemory() - memoryBefore) / 1e6)
     }
 }
 
 private fun changeTarget(
-    set: SealedSet,
+    set: ObjectSnapshot,
     number: Int,
-): SealedChanges {
+): SnapshotDelta {
     val target =
         set.objects.targets.values
             .elementAt(number * 31 % set.objects.targets.size)
     val changed: OperatorObject = target.copy(requests = target.requests + 1)
     val changes = ObjectChanges(listOf(changed), emptyList())
     val next = set.objects.plus(changes)
-    return SealedChanges(set.revision, set.digest, Revision(set.revision.number + 1), next.digest, changes)
+    return SnapshotDelta(set.revision, set.digest, Revision(set.revision.number + 1), next.digest, changes)
 }
 
 private fun usedMemory(): Long {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/OnceMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/OnceMeasure.kt
@@ -8,12 +8,12 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import lagoonrudder.model.ObjectSet
-import lagoonrudder.model.RepeatKey
-import lagoonrudder.model.Service
+import lagoonrudder.model.IdempotencyKey
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.objectSet
-import lagoonrudder.standins.CallEnd
-import lagoonrudder.standins.keyIssuedAt
+import lagoonrudder.standins.Reply
+import lagoonrudder.standins.uuidV7At
 import lagoonrudder.standins.virtual.RandomFaultInjector
 import lagoonrudder.standins.virtual.VirtualOptions
 import lagoonrudder.standins.virtual.VirtualSite
@@ -29,13 +29,13 @@
 
 /** The outcomes of the orders of a run, by order. */
 class AtMostOnceResult {
-    val responses = mutableMapOf<String, MutableList<CallEnd>>()
+    val responses = mutableMapOf<String, MutableList<Reply>>()
     var doubleRuns = 0
     var falseNotRuns = 0
     var wrong = 0
     var violations = 0
 
-    fun count(which: (CallEnd) -> Boolean): Int = responses.values.sumOf { orderResponses -> orderResponses.count(which) }
+    fun count(which: (Reply) -> Boolean): Int = responses.values.sumOf { orderResponses -> orderResponses.count(which) }
 }
 
 /** The configuration of the measurement, with the failure domain [out] taken out of service. */
@@ -43,7 +43,7 @@
     objectSet {
         domains.forEachIndexed { index, name ->
             region(name, origin = index == 0)
-            domain(name, service = if (name == out) Service.OUT else Service.IN)
+            domain(name, service = if (name == out) AdminState.OUT else AdminState.IN)
         }
         customer("farm")
         plainFleet("ledger")
@@ -86,11 +86,11 @@
     figures {
         add("orders", results.sumOf { it.responses.size })
         add("calls", results.sumOf { run -> run.count { true } })
-        add("done", results.sumOf { run -> run.count { it is CallEnd.Whole } })
-        add("not-run", results.sumOf { run -> run.count { it is CallEnd.NotRun } })
+        add("done", results.sumOf { run -> run.count { it is Reply.Complete } })
+        add("not-run", results.sumOf { run -> run.count { it is Reply.NotRun } })
         for ((code, count) in refusalCodes(results)) add("not-run-$code", count)
-        add("unknown", results.sumOf { run -> run.count { it is CallEnd.Unknown } })
-        add("broken", results.sumOf { run -> run.count { it is CallEnd.Broken } })
+        add("unknown", results.sumOf { run -> run.count { it is Reply.Unknown } })
+        add("broken", results.sumOf { run -> run.count { it is Reply.Broken } })
         add("wrong", results.sumOf { it.wrong })
         add("double-runs", results.sumOf { it.doubleRuns })
         add("false-not-runs", results.sumOf { it.falseNotRuns })
@@ -100,7 +100,7 @@
 private fun refusalCodes(results: List<AtMostOnceResult>): Map<String, Int> =
     results
         .flatMap { it.responses.values.flatten() }
-        .filterIsInstance<CallEnd.NotRun>()
+        .filterIsInstance<Reply.NotRun>()
         .groupingBy { it.code }
         .eachCount()
 
@@ -111,14 +111,14 @@
     run: AtMostOnceResult,
 ) {
     val random = Random(seed * 100_003 + number)
-    val key = RepeatKey(keyIssuedAt(clock.now().toEpochMilliseconds() - random.nextLong(50), random))
+    val key = IdempotencyKey(uuidV7At(clock.now().toEpochMilliseconds() - random.nextLong(50), random))
     val body = "order-$number"
     val orderResponses = run.responses.getOrPut(body) { mutableListOf() }
     repeat(1 + random.nextInt(MAX_ATTEMPTS)) {
         val executionsBefore = executionsOf(body)
         val response = sendOrder(entries.random(random), "/v1/fees", "token-farm", key, body, 8.seconds)
         orderResponses += response
-        if (response is CallEnd.NotRun && orderResponses.size == 1) checkNotRun(body, executionsBefore, run)
+        if (response is Reply.NotRun && orderResponses.size == 1) checkNotRun(body, executionsBefore, run)
         delay(random.nextInt(800).milliseconds)
     }
 }
@@ -140,7 +140,7 @@
     run: AtMostOnceResult,
 ) {
     run.doubleRuns = run.responses.keys.count { site.executionsOf(it) > 1 }
-    run.wrong = run.count { it is CallEnd.Wrong }
+    run.wrong = run.count { it is Reply.Wrong }
     run.violations = site.violations.size
     site.violations.take(3).forEach { println("violation: $it") }
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/RandomMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/RandomMeasure.kt
@@ -7,14 +7,14 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import lagoonrudder.model.ObjectSet
-import lagoonrudder.model.RepeatKey
-import lagoonrudder.model.Service
+import lagoonrudder.model.IdempotencyKey
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.objectSet
-import lagoonrudder.standins.CallEnd
+import lagoonrudder.standins.Reply
 import lagoonrudder.standins.EngineTraits
 import lagoonrudder.standins.TextCall
-import lagoonrudder.standins.keyIssuedAt
+import lagoonrudder.standins.uuidV7At
 import lagoonrudder.standins.virtual.RandomFaultInjector
 import lagoonrudder.standins.virtual.VirtualOptions
 import lagoonrudder.standins.virtual.VirtualSite
@@ -27,13 +27,13 @@
 import kotlin.time.Duration.Companion.seconds
 
 private val domainNames = listOf("ost", "west", "sued")
-private val traits = EngineTraits(coldRequests = 2, warmRequests = 6, warmUp = 4.seconds, memoryTokens = 3_000, downTime = 1.seconds)
+private val traits = EngineTraits(coldCapacity = 2, warmCapacity = 6, warmUp = 4.seconds, memoryTokens = 3_000, downTime = 1.seconds)
 private const val CALLS_PER_SECOND = 60.0
 private const val STEP_SECONDS = 2
 
 /** The responses and the failures of a run under random faults. */
 class RandomRunResult {
-    val responses = mutableListOf<CallEnd>()
+    val responses = mutableListOf<Reply>()
     val failures = mutableListOf<String>()
     var doubleRuns = 0
 }
@@ -45,7 +45,7 @@
     objectSet {
         domainNames.forEachIndexed { index, name ->
             region(name, origin = index == 0)
-            domain(name, service = if (name == out) Service.OUT else Service.IN)
+            domain(name, service = if (name == out) AdminState.OUT else AdminState.IN)
         }
         repeat(4) { customer("customer-$it") }
         model("m")
@@ -53,7 +53,7 @@
         engineFleet("workers", version, replaces = if (version == "m-1") "m-2" else "m-1")
         plainFleet("ledger")
         domainNames.forEach { name ->
-            repeat(2) { target("worker-$name-$it", "workers", name, requests = traits.warmRequests, memoryTokens = traits.memoryTokens) }
+            repeat(2) { target("worker-$name-$it", "workers", name, requests = traits.warmCapacity, memoryTokens = traits.memoryTokens) }
             target("ledger-$name", "ledger", name, requests = 32)
         }
         route("text", "/v1/text", "workers", deadline = 4.seconds)
@@ -79,7 +79,7 @@
             poissonArrivals(Random(seed), CALLS_PER_SECOND, seconds.seconds) { sendRandomRequest(it, seed, result) }
         }
     result.failures += site.violations.map { "${it.invariant} ${it.detail}" }
-    result.failures += result.responses.filterIsInstance<CallEnd.Wrong>().map { "bad response: ${it.detail}" }
+    result.failures += result.responses.filterIsInstance<Reply.Wrong>().map { "bad response: ${it.detail}" }
     val runs =
         site.targets.values
             .flatMap { it.backEnd.runs.entries }
@@ -102,10 +102,10 @@
     val responses = results.flatMap { it.responses }
     return figures {
         add("calls", responses.size)
-        add("whole", responses.count { it is CallEnd.Whole })
-        add("not-run", responses.count { it is CallEnd.NotRun })
-        add("unknown", responses.count { it is CallEnd.Unknown })
-        add("broken", responses.count { it is CallEnd.Broken })
+        add("whole", responses.count { it is Reply.Complete })
+        add("not-run", responses.count { it is Reply.NotRun })
+        add("unknown", responses.count { it is Reply.Unknown })
+        add("broken", responses.count { it is Reply.Broken })
         add("problems", results.sumOf { it.failures.size })
     }
 }
@@ -120,7 +120,7 @@
     val token = "token-customer-${random.nextInt(4)}"
     result.responses +=
         if (random.nextInt(4) == 0) {
-            val key = RepeatKey(keyIssuedAt(clock.now().toEpochMilliseconds(), random))
+            val key = IdempotencyKey(uuidV7At(clock.now().toEpochMilliseconds(), random))
             sendOrder(entry, "/v1/fees", token, key, "order-$number", 8.seconds)
         } else {
             val pause = if (random.nextInt(20) == 0) random.nextInt(400).milliseconds else Duration.ZERO
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ReaderMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ReaderMeasure.kt
@@ -7,10 +7,10 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import lagoonrudder.control.LimitPolicy
-import lagoonrudder.control.ReaderMemoryPolicy
+import lagoonrudder.control.ResponseBufferPolicy
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.objectSet
-import lagoonrudder.standins.CallEnd
+import lagoonrudder.standins.Reply
 import lagoonrudder.standins.EngineTraits
 import lagoonrudder.standins.TextCall
 import lagoonrudder.standins.percentile
@@ -30,16 +30,16 @@
 private const val MAX_FAST_SLOWDOWN = 1.1
 private val slowReadDelay = 30.milliseconds
 private val duration = 30.seconds
-private val traits = EngineTraits(coldRequests = 600, warmRequests = 600, memoryTokens = 10_000_000)
+private val traits = EngineTraits(coldCapacity = 600, warmCapacity = 600, memoryTokens = 10_000_000)
 
 private class ReaderRun(
     var maxHeldBytes: Long = 0,
-    val slow: MutableList<CallEnd> = mutableListOf(),
-    val fast: MutableList<CallEnd> = mutableListOf(),
+    val slow: MutableList<Reply> = mutableListOf(),
+    val fast: MutableList<Reply> = mutableListOf(),
     var violations: Int = 0,
 ) {
-    val fastCompletedShare: Double get() = fast.count { it is CallEnd.Whole }.toDouble() / fast.size.coerceAtLeast(1)
-    val fastP95: Duration get() = percentile(fast.filterIsInstance<CallEnd.Whole>().map { it.firstByte }, 0.95)
+    val fastCompletedShare: Double get() = fast.count { it is Reply.Complete }.toDouble() / fast.size.coerceAtLeast(1)
+    val fastP95: Duration get() = percentile(fast.filterIsInstance<Reply.Complete>().map { it.firstByte }, 0.95)
 }
 
 private fun objects(): ObjectSet =
@@ -51,21 +51,21 @@
         model("m")
         version("m-1", "m")
         engineFleet("workers", "m-1")
-        repeat(4) { target("worker-$it", "workers", "ost", requests = traits.warmRequests, memoryTokens = traits.memoryTokens) }
+        repeat(4) { target("worker-$it", "workers", "ost", requests = traits.warmCapacity, memoryTokens = traits.memoryTokens) }
         route("text", "/v1/text", "workers", deadline = 30.seconds)
     }
 
 fun measureReaders(options: MeasureOptions): Verdict {
     val seed = options.int("seed", 1)
-    val windowed = ReaderMemoryPolicy.Windowed(window = WINDOW_BYTES, budget = BUDGET_BYTES)
+    val windowed = ResponseBufferPolicy.Windowed(window = WINDOW_BYTES, budget = BUDGET_BYTES)
     val withoutSlowReaders = observe(0, windowed, seed)
     val bounded = listOf(10, 100, 1_000).associateWith { observe(it, windowed, seed) }
-    val unbounded = observe(1_000, ReaderMemoryPolicy.Unbounded, seed)
+    val unbounded = observe(1_000, ResponseBufferPolicy.Unbounded, seed)
     bounded.forEach { (readers, readerRun) -> println("policy=windowed ${lineOf(readers, readerRun)}") }
     println("policy=unbounded ${lineOf(1_000, unbounded)}")
     val slowdown = bounded.values.maxOf { it.fastP95 / withoutSlowReaders.fastP95 }
     val passed =
-        bounded.values.all { it.maxHeldBytes <= BUDGET_BYTES && it.violations == 0 && it.slow.none { call -> call is CallEnd.Wrong } } &&
+        bounded.values.all { it.maxHeldBytes <= BUDGET_BYTES && it.violations == 0 && it.slow.none { call -> call is Reply.Wrong } } &&
             slowdown <= MAX_FAST_SLOWDOWN &&
             bounded.values.all { it.fastCompletedShare >= MIN_FAST_COMPLETED_SHARE }
     val line =
@@ -86,10 +86,10 @@
     figures {
         add("slow-readers", readers)
         add("most-held-bytes-of-an-entry", readerRun.maxHeldBytes)
-        add("slow-whole", readerRun.slow.count { it is CallEnd.Whole })
-        add("slow-refused", readerRun.slow.count { it is CallEnd.NotRun })
-        add("slow-broken", readerRun.slow.count { it is CallEnd.Broken })
-        add("slow-wrong", readerRun.slow.count { it is CallEnd.Wrong })
+        add("slow-whole", readerRun.slow.count { it is Reply.Complete })
+        add("slow-refused", readerRun.slow.count { it is Reply.NotRun })
+        add("slow-broken", readerRun.slow.count { it is Reply.Broken })
+        add("slow-wrong", readerRun.slow.count { it is Reply.Wrong })
         add("fast-calls", readerRun.fast.size)
         add("fast-whole", readerRun.fastCompletedShare)
         add("fast-first-p95", readerRun.fastP95)
@@ -98,7 +98,7 @@
 
 private fun observe(
     readers: Int,
-    policy: ReaderMemoryPolicy,
+    policy: ResponseBufferPolicy,
     seed: Int,
 ): ReaderRun {
     val readerRun = ReaderRun()
@@ -108,7 +108,7 @@
             engine = traits
             this.responseBuffers = policy
             concurrencyLimit = LimitPolicy.Fixed
-            entriesEach = 4
+            entriesPerDomain = 4
         }) {
             repeat(readers) { index -> scope.launch { readerRun.slow += fetchAs(index, "slow", SLOW_TOKENS, slowReadDelay) } }
             scope.launch { sampleHeldBytes(readerRun) }
@@ -123,7 +123,7 @@
     customer: String,
     tokens: Int,
     pause: Duration,
-): CallEnd = fetchText(entries[index % entries.size], TextCall("/v1/text", "token-$customer", "prompt $index", tokens, 110.seconds, pause))
+): Reply = fetchText(entries[index % entries.size], TextCall("/v1/text", "token-$customer", "prompt $index", tokens, 110.seconds, pause))
 
 private suspend fun VirtualSite.sampleHeldBytes(readerRun: ReaderRun) {
     while (clock.elapsed() < 110.seconds) {
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/TrafficMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/TrafficMeasure.kt
@@ -5,13 +5,13 @@
 
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import lagoonrudder.control.ChoicePolicy
+import lagoonrudder.control.LoadBalancingPolicy
 import lagoonrudder.control.LimitPolicy
 import lagoonrudder.control.QueuePolicy
-import lagoonrudder.control.ReaderMemoryPolicy
+import lagoonrudder.control.ResponseBufferPolicy
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.objectSet
-import lagoonrudder.standins.CallEnd
+import lagoonrudder.standins.Reply
 import lagoonrudder.standins.EngineTraits
 import lagoonrudder.standins.TextCall
 import lagoonrudder.standins.percentile
@@ -65,16 +65,16 @@
 private val production = PolicySet("own") { }
 private val baseline =
     PolicySet("baseline") {
-        loadBalancing = ChoicePolicy.RoundRobin
+        loadBalancing = LoadBalancingPolicy.RoundRobin
         concurrencyLimit = LimitPolicy.Fixed
         queue = QueuePolicy.ArrivalOrder
-        responseBuffers = ReaderMemoryPolicy.Unbounded
+        responseBuffers = ResponseBufferPolicy.Unbounded
     }
 
 private const val WORKERS = 8
 private const val CUSTOMERS = 10
 private const val BURST_FACTOR = 10
-private val traits = EngineTraits(coldRequests = 2, warmRequests = 8, warmUp = 6.seconds, memoryTokens = 20_000)
+private val traits = EngineTraits(coldCapacity = 2, warmCapacity = 8, warmUp = 6.seconds, memoryTokens = 20_000)
 private val warmUp = 5.seconds
 private val duration = 15.seconds
 
@@ -93,7 +93,7 @@
         engineFleet("workers", "m-1")
         val domains = listOf("ost", "west", "sued")
         repeat(WORKERS) {
-            target("worker-$it", "workers", domains[it % 3], requests = traits.warmRequests, memoryTokens = traits.memoryTokens)
+            target("worker-$it", "workers", domains[it % 3], requests = traits.warmCapacity, memoryTokens = traits.memoryTokens)
         }
         route("text", "/v1/text", "workers", deadline = workload.deadline)
         route("jury", "/v1/jury", "workers", deadline = workload.deadline, priority = 3)
@@ -106,7 +106,7 @@
     class CallRecord(
         val customer: Int,
         val jury: Boolean,
-        val response: CallEnd,
+        val response: Reply,
     )
 
     val calls = mutableListOf<CallRecord>()
@@ -114,7 +114,7 @@
     fun inTime(
         deadline: Duration,
         which: (CallRecord) -> Boolean = { true },
-    ): Int = calls.count { which(it) && (it.response as? CallEnd.Whole)?.let { done -> done.total <= deadline } == true }
+    ): Int = calls.count { which(it) && (it.response as? Reply.Complete)?.let { done -> done.total <= deadline } == true }
 }
 
 fun measureTraffic(options: MeasureOptions): Verdict {
@@ -164,7 +164,7 @@
             policies.build(this)
         }) { script(workload, case, capacity, seed, log) }
     val seconds = duration.toDouble(DurationUnit.SECONDS)
-    val done = log.calls.mapNotNull { it.response as? CallEnd.Whole }
+    val done = log.calls.mapNotNull { it.response as? Reply.Complete }
     val others = { record: CallLog.CallRecord -> case !is Case.Burst || record.customer != 0 }
     val share =
         when (case) {
@@ -186,14 +186,14 @@
             listOf(0.5, 0.95, 0.99).forEach { add("token-p${(it * 100).toInt()}", percentile(done.flatMap { call -> call.gaps }, it)) }
             addRefusals("not-run", log.calls)
             addRefusals("others-not-run", log.calls.filter(others))
-            val refusalTimes = log.calls.filter(others).mapNotNull { (it.response as? CallEnd.NotRun)?.total }
+            val refusalTimes = log.calls.filter(others).mapNotNull { (it.response as? Reply.NotRun)?.total }
             add("others-refused-after-p50", percentile(refusalTimes, 0.5))
             add("others-refused-after-p95", percentile(refusalTimes, 0.95))
-            add("others-late", log.calls.count { others(it) && it.response is CallEnd.Whole } - log.inTime(workload.deadline, others))
-            add("broken", log.calls.count { it.response is CallEnd.Broken })
-            add("wrong", log.calls.count { it.response is CallEnd.Wrong })
+            add("others-late", log.calls.count { others(it) && it.response is Reply.Complete } - log.inTime(workload.deadline, others))
+            add("broken", log.calls.count { it.response is Reply.Broken })
+            add("wrong", log.calls.count { it.response is Reply.Wrong })
             add("jury-in-time", juryShare(log, workload))
-            add("falls", site.targets.values.sumOf { it.backEnd.falls })
+            add("falls", site.targets.values.sumOf { it.backEnd.crashes })
             add("violations", site.violations.size)
         },
     )
@@ -205,7 +205,7 @@
     name: String,
     calls: List<CallLog.CallRecord>,
 ) {
-    val codes = calls.mapNotNull { (it.response as? CallEnd.NotRun)?.code }
+    val codes = calls.mapNotNull { (it.response as? Reply.NotRun)?.code }
     for ((code, count) in codes.groupingBy { it }.eachCount()) add("$name-$code", count)
 }
 
@@ -220,8 +220,8 @@
 /** The requests per second that all warm engines together process without slowing down. */
 private fun capacityOf(workload: Workload): Double {
     val tokens = (workload.tokens.first + workload.tokens.last) / 2.0
-    val timePerRequest = traits.firstToken + traits.tokenInterval * tokens
-    return WORKERS * traits.warmRequests / timePerRequest.toDouble(DurationUnit.SECONDS)
+    val timePerRequest = traits.firstTokenDelay + traits.tokenInterval * tokens
+    return WORKERS * traits.warmCapacity / timePerRequest.toDouble(DurationUnit.SECONDS)
 }
 
 private suspend fun VirtualSite.script(
