--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/WeightSimulation.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/WeightSimulation.kt
@@ -5,12 +5,12 @@
 
 import lagoonrudder.control.ChunkDecision
 import lagoonrudder.control.ChunkSource
-import lagoonrudder.control.DrawDecision
-import lagoonrudder.control.DrawResult
-import lagoonrudder.control.Holder
+import lagoonrudder.control.FetchDecision
+import lagoonrudder.control.FetchResult
+import lagoonrudder.control.WeightHolder
 import lagoonrudder.control.SourcePolicy
-import lagoonrudder.control.WeightBounds
-import lagoonrudder.control.WeightController
+import lagoonrudder.control.WeightFetchLimits
+import lagoonrudder.control.WeightFetchController
 import lagoonrudder.model.ChunkIndex
 import lagoonrudder.model.DaemonId
 import lagoonrudder.model.Digest
@@ -71,8 +71,8 @@
     seed: Int,
 ) {
     private inner class Node(
-        val holder: Holder,
-        val controller: WeightController,
+        val holder: WeightHolder,
+        val controller: WeightFetchController,
     ) {
         val uplink = Link(rates.instance)
         val downlink = Link(rates.instance)
@@ -146,10 +146,10 @@
         if (!node.alive) return
         while (true) {
             when (val decision = node.controller.next(time())) {
-                is DrawDecision.Draw -> fetch(node, decision)
-                is DrawDecision.Wait -> return pollLater(node, decision.until.toDouble(DurationUnit.SECONDS))
-                DrawDecision.Busy -> return
-                DrawDecision.Complete -> {
+                is FetchDecision.Fetch -> fetch(node, decision)
+                is FetchDecision.Wait -> return pollLater(node, decision.until.toDouble(DurationUnit.SECONDS))
+                FetchDecision.Busy -> return
+                FetchDecision.Complete -> {
                     if (node.readyAt.isNaN()) node.readyAt = now
                     return
                 }
@@ -169,13 +169,13 @@
 
     private fun fetch(
         node: Node,
-        decision: DrawDecision.Draw,
+        decision: FetchDecision.Fetch,
     ) {
         when (val source = decision.source) {
             ChunkSource.Origin -> transfer(node, decision, null)
             is ChunkSource.Peer -> {
                 val from = nodes.getValue(source.holder.daemon)
-                if (!from.alive || isIsolated(node, from)) return completeAt(node, decision, now + FAILURE_SECONDS) { DrawResult.Failed }
+                if (!from.alive || isIsolated(node, from)) return completeAt(node, decision, now + FAILURE_SECONDS) { FetchResult.Failed }
                 if (from.held[decision.chunk.number]) transfer(node, decision, from) else awaitChunk(node, decision, from)
             }
         }
@@ -183,7 +183,7 @@
 
     private fun awaitChunk(
         node: Node,
-        decision: DrawDecision.Draw,
+        decision: FetchDecision.Fetch,
         from: Node,
     ) {
         val waiter = Waiter({ transfer(node, decision, from) })
@@ -191,14 +191,14 @@
         schedule(now + PEER_WAIT_SECONDS) {
             if (waiter.open) {
                 waiter.open = false
-                complete(node, decision, if (from.alive) DrawResult.NotYet else DrawResult.Failed)
+                complete(node, decision, if (from.alive) FetchResult.NotYet else FetchResult.Failed)
             }
         }
     }
 
     private fun transfer(
         node: Node,
-        decision: DrawDecision.Draw,
+        decision: FetchDecision.Fetch,
         from: Node?,
     ) {
         val sourceLink = from?.uplink ?: originLink
@@ -212,32 +212,32 @@
             if (from != null &&
                 (!from.alive || isIsolated(node, from))
             ) {
-                DrawResult.Failed
+                FetchResult.Failed
             } else {
                 receivedChunk(decision.chunk)
             }
         }
     }
 
-    private fun receivedChunk(chunk: ChunkIndex): DrawResult {
+    private fun receivedChunk(chunk: ChunkIndex): FetchResult {
         val isCorrupt = random.nextDouble() < faults.corruptionRate
-        return DrawResult.Arrived(if (isCorrupt) corruptDigest else digests[chunk.number], chunkData[chunk.number])
+        return FetchResult.Received(if (isCorrupt) corruptDigest else digests[chunk.number], chunkData[chunk.number])
     }
 
     private fun completeAt(
         node: Node,
-        decision: DrawDecision.Draw,
+        decision: FetchDecision.Fetch,
         time: Double,
-        result: () -> DrawResult,
+        result: () -> FetchResult,
     ) = schedule(time) { complete(node, decision, result()) }
 
     private fun complete(
         node: Node,
-        decision: DrawDecision.Draw,
-        result: DrawResult,
+        decision: FetchDecision.Fetch,
+        result: FetchResult,
     ) {
         if (!node.alive) return
-        val outcome = node.controller.ended(decision.version, decision.chunk, decision.source, result, time())
+        val outcome = node.controller.onFetchEnded(decision.version, decision.chunk, decision.source, result, time())
         if (outcome is ChunkDecision.Keep) storeChunk(node, decision.chunk, result)
         poll(node)
     }
@@ -245,9 +245,9 @@
     private fun storeChunk(
         node: Node,
         chunk: ChunkIndex,
-        result: DrawResult,
+        result: FetchResult,
     ) {
-        if (result is DrawResult.Arrived && result.digest == corruptDigest) corruptChunksKept++
+        if (result is FetchResult.Received && result.digest == corruptDigest) corruptChunksKept++
         node.held[chunk.number] = true
         node.waiters.remove(chunk.number)?.filter { it.open }?.forEach {
             it.open = false
@@ -285,12 +285,12 @@
         val holders =
             (0 until replicas).map {
                 val domain = DomainId("d${it % domains}")
-                Holder(DaemonId("replica-$it"), domain, checkNotNull(objects.regionOf(domain)))
+                WeightHolder(DaemonId("replica-$it"), domain, checkNotNull(objects.regionOf(domain)))
             }
         return holders.map { holder ->
-            val controller = WeightController(holder, policy, WeightBounds(), invariants)
+            val controller = WeightFetchController(holder, policy, WeightFetchLimits(), invariants)
             controller.configure(objects)
-            controller.want(objects.versions.getValue(VersionId("m-1")), digests, holders)
+            controller.startFetch(objects.versions.getValue(VersionId("m-1")), digests, holders)
             Node(holder, controller)
         }
     }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualBackEnd.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualBackEnd.kt
@@ -14,7 +14,7 @@
 import lagoonrudder.control.EngineRole
 import lagoonrudder.control.EngineState
 import lagoonrudder.control.OrderResult
-import lagoonrudder.control.RecordedAnswer
+import lagoonrudder.control.RecordedResponse
 import lagoonrudder.model.ChunkIndex
 import lagoonrudder.model.Clock
 import lagoonrudder.model.Failure
@@ -27,10 +27,10 @@
 import lagoonrudder.model.VersionId
 import lagoonrudder.standins.EngineLoad
 import lagoonrudder.standins.EngineTraits
-import lagoonrudder.standins.TOKEN_CHARACTERS
-import lagoonrudder.standins.textOf
+import lagoonrudder.standins.TOKEN_LENGTH
+import lagoonrudder.standins.tokenAt
 import lagoonrudder.traffic.Work
-import lagoonrudder.traffic.target.BackEnd
+import lagoonrudder.traffic.target.LocalBackEnd
 import lagoonrudder.traffic.target.EngineEvent
 import lagoonrudder.traffic.target.GenerateRequest
 import java.util.zip.CRC32C
@@ -47,7 +47,7 @@
     private val traits: EngineTraits,
     private val clock: Clock,
     private var version: VersionId?,
-) : BackEnd {
+) : LocalBackEnd {
     private val load = EngineLoad(traits)
     private var readyAt = -traits.warmUp
     private var downUntil = -Duration.INFINITE
@@ -55,7 +55,7 @@
 
     /** The number of executions of each body of a plain call. */
     val runs = mutableMapOf<String, Int>()
-    var falls = 0
+    var crashes = 0
         private set
     var maxConcurrentRequests = 0
         private set
@@ -84,12 +84,12 @@
             val servedVersion = version
             if (clock.elapsed() < downUntil) return@flow emit(Failure.Unreachable(Step.RUN, PEER, "engine is down").left())
             if (servedVersion == null) return@flow emit(Failure.Declined(Step.RUN, PEER, "no version loaded").left())
-            val tokens = request.work.maximumTokens + request.work.prompt.length / TOKEN_CHARACTERS + 1L
-            enter(tokens)
+            val tokens = request.work.maximumTokens + request.work.prompt.length / TOKEN_LENGTH + 1L
+            admit(tokens)
             try {
                 respond(request, servedVersion, incarnation)
             } finally {
-                load.leave(tokens)
+                load.release(tokens)
             }
         }
 
@@ -97,7 +97,7 @@
         work: Work.Plain,
         request: RequestId,
         limit: Duration,
-    ): Either<Failure, RecordedAnswer> {
+    ): Either<Failure, RecordedResponse> {
         if (clock.elapsed() < downUntil) return Failure.Unreachable(Step.RUN, PEER, "engine is down").left()
         val body = work.body.decodeToString()
         runs.merge(body, 1, Int::plus)
@@ -106,7 +106,7 @@
             dropNextResponse = false
             return Failure.Interrupted(Step.RUN, PEER, "response lost").left()
         }
-        return RecordedAnswer(STATUS_OK, "text/plain", "done $body".encodeToByteArray()).right()
+        return RecordedResponse(STATUS_OK, "text/plain", "done $body".encodeToByteArray()).right()
     }
 
     override suspend fun state(limit: Duration): Either<Failure, EngineState> =
@@ -126,11 +126,11 @@
 
     fun engineState() = EngineState(IncarnationId("engine-$incarnation"), version, EngineRole.SERVE, FencingNumber(1), false, 0)
 
-    private fun enter(tokens: Long) {
-        val survived = load.enter(tokens, uptime())
+    private fun admit(tokens: Long) {
+        val survived = load.admit(tokens, uptime())
         maxConcurrentRequests = maxOf(maxConcurrentRequests, load.requests())
         if (survived) return
-        falls++
+        crashes++
         restart()
     }
 
@@ -140,14 +140,14 @@
         startIncarnation: Int,
     ) {
         emit(EngineEvent.Started(IncarnationId("engine-$startIncarnation"), servedVersion).right())
-        delayUnderLoad(traits.firstToken)
+        delayUnderLoad(traits.firstTokenDelay)
         val checksum = CRC32C()
         var offset = request.offset
-        val responseLength = request.work.maximumTokens.toLong() * TOKEN_CHARACTERS
+        val responseLength = request.work.maximumTokens.toLong() * TOKEN_LENGTH
         while (offset < responseLength) {
             while (stalled) delay(STALL_POLL_INTERVAL)
             if (startIncarnation != incarnation) return emit(Failure.Interrupted(Step.RUN, PEER, "engine crashed").left())
-            val token = textOf(servedVersion.text, request.work.prompt, offset).encodeToByteArray()
+            val token = tokenAt(servedVersion.text, request.work.prompt, offset).encodeToByteArray()
             checksum.update(token)
             emit(EngineEvent.Text(offset, token).right())
             offset += token.size
@@ -157,7 +157,7 @@
     }
 
     private suspend fun delayUnderLoad(unloaded: Duration) =
-        delay((unloaded.inWholeMicroseconds * load.slowness(uptime()) / MICROSECONDS_PER_MILLISECOND).roundToLong().milliseconds)
+        delay((unloaded.inWholeMicroseconds * load.slowdown(uptime()) / MICROSECONDS_PER_MILLISECOND).roundToLong().milliseconds)
 
     private fun uptime() = clock.elapsed() - readyAt
 
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualCaller.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualCaller.kt
@@ -7,20 +7,20 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import lagoonrudder.model.Failure
 import lagoonrudder.model.Outcome
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.VersionId
-import lagoonrudder.standins.CallEnd
+import lagoonrudder.standins.Reply
 import lagoonrudder.standins.TextCall
-import lagoonrudder.standins.wholeAnswer
-import lagoonrudder.traffic.entry.AnswerSink
+import lagoonrudder.standins.expectedText
+import lagoonrudder.traffic.entry.ResponseSink
 import lagoonrudder.traffic.entry.CallerRequest
 import kotlin.time.Duration
 
-/** Records a response; each write is delayed by [pause], as with a slow reader. */
+/** Records a response; each write is delayed by [readDelay], as with a slow reader. */
 class RecordingSink(
     private val clock: VirtualClock,
-    private val pause: Duration,
-) : AnswerSink {
+    private val readDelay: Duration,
+) : ResponseSink {
     private val bytes = StringBuilder()
     val writeTimes = mutableListOf<Duration>()
     var version: VersionId? = null
@@ -46,7 +46,7 @@
     override suspend fun write(data: ByteArray) {
         bytes.append(data.decodeToString())
         writeTimes += clock.elapsed()
-        if (pause > Duration.ZERO) delay(pause)
+        if (readDelay > Duration.ZERO) delay(readDelay)
     }
 
     override suspend fun finish(
@@ -65,14 +65,14 @@
 suspend fun VirtualSite.fetchText(
     entry: VirtualEntry,
     call: TextCall,
-): CallEnd {
-    val sink = RecordingSink(clock, call.pause)
+): Reply {
+    val sink = RecordingSink(clock, call.readDelay)
     val startedAt = clock.elapsed()
     val body = "{\"prompt\":\"${call.prompt}\",\"max_tokens\":${call.tokens}}".encodeToByteArray()
     val request = CallerRequest("POST", call.path, call.token, null, "application/json", body)
-    val outcome = withTimeoutOrNull(call.limit) { entry.call(request, sink) } ?: return CallEnd.Broken("no outcome within ${call.limit}")
+    val outcome = withTimeoutOrNull(call.limit) { entry.call(request, sink) } ?: return Reply.Broken("no outcome within ${call.limit}")
     val total = clock.elapsed() - startedAt
-    return verify(outcome, sink, startedAt, total) { wholeAnswer(sink.version?.text.orEmpty(), call.prompt, call.tokens) }
+    return verify(outcome, sink, startedAt, total) { expectedText(sink.version?.text.orEmpty(), call.prompt, call.tokens) }
 }
 
 /** Sends an order, a call that must be executed at most once, and verifies the response. */
@@ -80,14 +80,14 @@
     entry: VirtualEntry,
     path: String,
     token: String,
-    key: RepeatKey,
+    key: IdempotencyKey,
     body: String,
     timeout: Duration,
-): CallEnd {
+): Reply {
     val sink = RecordingSink(clock, Duration.ZERO)
     val startedAt = clock.elapsed()
     val request = CallerRequest("POST", path, token, key, "text/plain", body.encodeToByteArray())
-    val outcome = withTimeoutOrNull(timeout) { entry.call(request, sink) } ?: return CallEnd.Broken("no outcome within $timeout")
+    val outcome = withTimeoutOrNull(timeout) { entry.call(request, sink) } ?: return Reply.Broken("no outcome within $timeout")
     return verify(outcome, sink, startedAt, clock.elapsed() - startedAt) { "done $body" }
 }
 
@@ -97,14 +97,14 @@
     startedAt: Duration,
     total: Duration,
     expected: () -> String,
-): CallEnd =
+): Reply =
     when (outcome) {
         is Outcome.Completed -> {
             val correct = sink.finished && sink.text == expected()
             val firstByte = (sink.writeTimes.firstOrNull() ?: startedAt) - startedAt
             val gaps = sink.writeTimes.zipWithNext { previous, next -> next - previous }
             if (correct) {
-                CallEnd.Whole(
+                Reply.Complete(
                     sink.text,
                     sink.version?.text.orEmpty(),
                     firstByte,
@@ -112,13 +112,13 @@
                     gaps,
                 )
             } else {
-                CallEnd.Wrong("unexpected text of length ${sink.text.length}")
+                Reply.Wrong("unexpected text of length ${sink.text.length}")
             }
         }
         is Outcome.Refused -> {
             val clean = !sink.started && !sink.finished
-            if (clean) CallEnd.NotRun(outcome.refusal.code, total, outcome.refusal.retryAfter) else CallEnd.Wrong("refused mid-response")
+            if (clean) Reply.NotRun(outcome.refusal.code, total, outcome.refusal.retryAfter) else Reply.Wrong("refused mid-response")
         }
-        is Outcome.Unknown -> CallEnd.Unknown(outcome.failure.describe())
-        is Outcome.Broken -> if (sink.finished) CallEnd.Wrong("broken after completion") else CallEnd.Broken(outcome.failure.describe())
+        is Outcome.Unknown -> Reply.Unknown(outcome.failure.describe())
+        is Outcome.Broken -> if (sink.finished) Reply.Wrong("broken after completion") else Reply.Broken(outcome.failure.describe())
     }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
@@ -18,26 +18,26 @@
 import kotlinx.coroutines.test.TestCoroutineScheduler
 import lagoonrudder.control.AdmissionController
 import lagoonrudder.control.CheckedSet
-import lagoonrudder.control.ChoicePolicy
+import lagoonrudder.control.LoadBalancingPolicy
 import lagoonrudder.control.ConfigurationController
 import lagoonrudder.control.ControlThread
-import lagoonrudder.control.Holder
-import lagoonrudder.control.LimitController
+import lagoonrudder.control.WeightHolder
+import lagoonrudder.control.ConcurrencyLimitController
 import lagoonrudder.control.LimitPolicy
 import lagoonrudder.control.MembershipController
 import lagoonrudder.control.QueueBounds
 import lagoonrudder.control.QueuePolicy
-import lagoonrudder.control.ReaderMemoryController
-import lagoonrudder.control.ReaderMemoryPolicy
-import lagoonrudder.control.RepeatController
-import lagoonrudder.control.RepeatPolicy
+import lagoonrudder.control.ResponseBufferController
+import lagoonrudder.control.ResponseBufferPolicy
+import lagoonrudder.control.IdempotencyController
+import lagoonrudder.control.IdempotencyPolicy
 import lagoonrudder.control.RetryBudget
 import lagoonrudder.control.RoutingController
-import lagoonrudder.control.ServiceController
+import lagoonrudder.control.ServingController
 import lagoonrudder.control.SourcePolicy
-import lagoonrudder.control.SwitchController
-import lagoonrudder.control.WeightBounds
-import lagoonrudder.control.WeightController
+import lagoonrudder.control.VersionSwitchController
+import lagoonrudder.control.WeightFetchLimits
+import lagoonrudder.control.WeightFetchController
 import lagoonrudder.daemon.front.CompletionDecoder
 import lagoonrudder.model.Address
 import lagoonrudder.model.Clock
@@ -55,17 +55,17 @@
 import lagoonrudder.model.RegionId
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.Violation
 import lagoonrudder.standins.EngineTraits
 import lagoonrudder.standins.LOOPBACK
 import lagoonrudder.traffic.FilterChain
-import lagoonrudder.traffic.TargetLink
-import lagoonrudder.traffic.entry.AccountFilter
-import lagoonrudder.traffic.entry.AdmitFilter
-import lagoonrudder.traffic.entry.AnswerSink
+import lagoonrudder.traffic.TargetClient
+import lagoonrudder.traffic.entry.AccountingFilter
+import lagoonrudder.traffic.entry.AdmissionFilter
+import lagoonrudder.traffic.entry.ResponseSink
 import lagoonrudder.traffic.entry.CallerRequest
 import lagoonrudder.traffic.entry.EntryCall
 import lagoonrudder.traffic.entry.EntryControl
@@ -75,7 +75,7 @@
 import lagoonrudder.traffic.entry.SendLimits
 import lagoonrudder.traffic.entry.entryFilters
 import lagoonrudder.traffic.target.EngineLimits
-import lagoonrudder.traffic.target.Reservations
+import lagoonrudder.traffic.target.KeyReservations
 import lagoonrudder.traffic.target.TargetCall
 import lagoonrudder.traffic.target.TargetControl
 import lagoonrudder.traffic.target.targetFilters
@@ -107,18 +107,18 @@
 /** The policies and fakes of a simulated site. */
 class VirtualOptions {
     var seed = 1
-    var loadBalancing: ChoicePolicy = ChoicePolicy.FreshRoom()
+    var loadBalancing: LoadBalancingPolicy = LoadBalancingPolicy.FreshRoom()
     var concurrencyLimit: LimitPolicy = LimitPolicy.Adaptive()
     var queue: QueuePolicy = QueuePolicy.WeightedFair
-    var responseBuffers: ReaderMemoryPolicy = ReaderMemoryPolicy.Windowed()
-    var idempotency = RepeatPolicy()
+    var responseBuffers: ResponseBufferPolicy = ResponseBufferPolicy.Windowed()
+    var idempotency = IdempotencyPolicy()
     var engine = EngineTraits()
-    var entriesEach = 2
+    var entriesPerDomain = 2
     var latency: Duration = 2.milliseconds
     var faults: FaultInjector = FaultInjector { ExchangeFault.None }
 
     /** Wraps the client that entry daemons reach targets with, so that tests can inject deliberate defects. */
-    var client: (TargetLink) -> TargetLink = { it }
+    var client: (TargetClient) -> TargetClient = { it }
 }
 
 /** An entry daemon in virtual time. */
@@ -134,7 +134,7 @@
 
     suspend fun call(
         request: CallerRequest,
-        sink: AnswerSink,
+        sink: ResponseSink,
     ): Outcome = chain.run(EntryCall(request, sink, clock.elapsed()))
 }
 
@@ -145,7 +145,7 @@
     val control: TargetControl,
     val chain: FilterChain<TargetCall>,
     val backEnd: VirtualBackEnd,
-    val reservations: Reservations,
+    val reservations: KeyReservations,
     private val clock: Clock,
 ) {
     /** Whether entry daemons can connect to the daemon and receive its reports. */
@@ -186,7 +186,7 @@
     fun start() {
         revision = Revision(1)
         objects.targets.values.forEach { startTarget(it) }
-        for (domain in objects.domains.keys) repeat(options.entriesEach) { entries += createEntry(domain, it) }
+        for (domain in objects.domains.keys) repeat(options.entriesPerDomain) { entries += createEntry(domain, it) }
         deliverConfiguration()
         scope.launch { reportLoop() }
         entries.forEach { scope.launch { tickLoop(it) } }
@@ -226,10 +226,10 @@
         val version = objects.fleets.getValue(target.fleet).version
         val backEnd = existingBackEnd ?: VirtualBackEnd(options.engine, clock, version)
         val control = targetControl(target, version)
-        control.switch.read(backEnd.engineState())
+        control.switch.onEngineState(backEnd.engineState())
         val chain = FilterChain(targetFilters(control, backEnd, clock, invariants, EngineLimits()))
         targets[target.id] =
-            VirtualTarget(target.id, target.domain, control, chain, backEnd, Reservations(control, client, clock), clock)
+            VirtualTarget(target.id, target.domain, control, chain, backEnd, KeyReservations(control, client, clock), clock)
     }
 
     private fun targetControl(
@@ -237,8 +237,8 @@
         version: VersionId?,
     ): TargetControl {
         val now = clock.elapsed()
-        val holder = Holder(DaemonId(target.id.text), target.domain, RegionId(target.domain.text))
-        val startedAt = if (startedDaemons++ < objects.targets.size) clock.now() - options.idempotency.memory * 2 else clock.now()
+        val holder = WeightHolder(DaemonId(target.id.text), target.domain, RegionId(target.domain.text))
+        val startedAt = if (startedDaemons++ < objects.targets.size) clock.now() - options.idempotency.retention * 2 else clock.now()
         return TargetControl(
             thread = thread,
             clock = clock,
@@ -247,11 +247,11 @@
             incarnation = IncarnationId("daemon-$startedDaemons"),
             configuration = ConfigurationController(invariants),
             membership = MembershipController(DaemonId(target.id.text)),
-            limits = LimitController(options.concurrencyLimit, invariants),
-            repeats = RepeatController(target.id, options.idempotency, invariants, startedAt, now),
-            switch = SwitchController(target.id, now),
-            weights = WeightController(holder, SourcePolicy.Striped, WeightBounds(), invariants),
-            service = ServiceController(target.domain, target.id),
+            limits = ConcurrencyLimitController(options.concurrencyLimit, invariants),
+            repeats = IdempotencyController(target.id, options.idempotency, invariants, startedAt, now),
+            switch = VersionSwitchController(target.id, now),
+            weights = WeightFetchController(holder, SourcePolicy.Striped, WeightFetchLimits(), invariants),
+            service = ServingController(target.domain, target.id),
         ).also { check(version == null || objects.versions.containsKey(version)) }
     }
 
@@ -269,15 +269,15 @@
                 membership = MembershipController(name),
                 routing = RoutingController(name.text, domain, options.loadBalancing, random),
                 admission = AdmissionController(options.queue, QueueBounds(), invariants),
-                readers = ReaderMemoryController(options.responseBuffers, invariants),
-                service = ServiceController(domain, null),
+                readers = ResponseBufferController(options.responseBuffers, invariants),
+                service = ServingController(domain, null),
                 retries = RetryBudget(),
             )
         val filters =
             entryFilters(
-                account = AccountFilter(control, clock) { _, _, _ -> },
+                account = AccountingFilter(control, clock) { _, _, _ -> },
                 identify = IdentifyFilter(control, clock, CompletionDecoder) { RequestId("request-${requestCount++}") },
-                admit = AdmitFilter(control),
+                admit = AdmissionFilter(control),
                 relay = RelayFilter(control, clock, invariants),
                 send = SendFilter(control, client, clock, SendLimits()),
             )
@@ -286,7 +286,7 @@
 
     private fun deliverConfiguration(receives: (String) -> Boolean = { true }) {
         generation++
-        val set = SealedSet(revision, objects)
+        val set = ObjectSnapshot(revision, objects)
         val instances = instances()
         for (target in targets.values) {
             if (!receives(target.id.text)) continue
@@ -304,9 +304,9 @@
 
     private fun accept(
         configuration: ConfigurationController,
-        set: SealedSet,
+        set: ObjectSnapshot,
     ) {
-        CheckedSet.ofWhole(set, configuration.current, PEER).fold({ error(it.describe()) }, { configuration.offer(it) })
+        CheckedSet.ofFullSet(set, configuration.current, PEER).fold({ error(it.describe()) }, { configuration.offer(it) })
         configuration.confirm()
     }
 
@@ -319,10 +319,10 @@
         while (scope.isActive) {
             for (target in targets.values) {
                 target.backEnd.state(Duration.ZERO).fold(
-                    { target.control.switch.engineLost() },
+                    { target.control.switch.onEngineLost() },
                     {
-                        target.control.switch.read(it)
-                        target.control.limits.observe(it.incarnation)
+                        target.control.switch.onEngineState(it)
+                        target.control.limits.onEngineIncarnation(it.incarnation)
                     },
                 )
                 target.control.publish()
@@ -337,7 +337,7 @@
         target: TargetId,
     ) {
         val source = targets[target]
-        if (source == null || !source.reachable || !entry.reachable) return entry.control.unlinked(target)
+        if (source == null || !source.reachable || !entry.reachable) return entry.control.onDisconnected(target)
         entry.control.reported(source.control.reported.value)
     }
 
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualTargetClient.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualTargetClient.kt
@@ -16,8 +16,8 @@
 import kotlinx.coroutines.flow.channelFlow
 import kotlinx.coroutines.flow.flow
 import kotlinx.coroutines.withTimeoutOrNull
-import lagoonrudder.control.RepeatDecision
-import lagoonrudder.control.Surrender
+import lagoonrudder.control.IdempotencyDecision
+import lagoonrudder.control.SurrenderResult
 import lagoonrudder.control.SwitchReport
 import lagoonrudder.control.TargetReport
 import lagoonrudder.model.Failure
@@ -32,7 +32,7 @@
 import lagoonrudder.traffic.RunEvent
 import lagoonrudder.traffic.RunRequest
 import lagoonrudder.traffic.SurrenderRequest
-import lagoonrudder.traffic.TargetLink
+import lagoonrudder.traffic.TargetClient
 import lagoonrudder.traffic.target.TargetCall
 import kotlin.random.Random
 import kotlin.time.Duration
@@ -86,18 +86,18 @@
     private val targets: (TargetId) -> VirtualTarget?,
     private val latency: Duration,
     private val faults: FaultInjector,
-) : TargetLink {
+) : TargetClient {
     override suspend fun reserve(
         target: Instance,
         request: ReserveRequest,
         limit: Duration,
-    ): Either<Failure, RepeatDecision> = exchange(target, limit, Step.GUARD_REPEATS) { it.reservations.reserve(request) }
+    ): Either<Failure, IdempotencyDecision> = exchange(target, limit, Step.GUARD_REPEATS) { it.reservations.reserve(request) }
 
     override suspend fun surrender(
         target: Instance,
         request: SurrenderRequest,
         limit: Duration,
-    ): Either<Failure, Surrender> = exchange(target, limit, Step.GUARD_REPEATS) { it.reservations.surrender(request) }
+    ): Either<Failure, SurrenderResult> = exchange(target, limit, Step.GUARD_REPEATS) { it.reservations.surrender(request) }
 
     override suspend fun switchReport(
         target: Instance,
@@ -130,7 +130,7 @@
             when (outcome) {
                 null -> send(interrupted(peer).left())
                 is Outcome.Completed -> Unit
-                is Outcome.Refused -> send(RunEvent.NotRun(outcome.refusal, destination.control.limits.room()).right())
+                is Outcome.Refused -> send(RunEvent.NotRun(outcome.refusal, destination.control.limits.load()).right())
                 is Outcome.Unknown, is Outcome.Broken -> send(interrupted(peer).left())
             }
         }.buffer(Channel.RENDEZVOUS)
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/ProcessTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/ProcessTest.kt
@@ -17,7 +17,7 @@
 import lagoonrudder.model.DomainId
 import lagoonrudder.model.Instance
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.objectSet
 import java.io.File
@@ -44,9 +44,9 @@
 private class Processes(
     private val folder: File,
 ) : AutoCloseable {
-    val platform = PlatformStandIn()
-    val origin = OriginStandIn(20_000_000).apply { publish("m-1", weights) }
-    val engines = listOf("a", "b").associateWith { EngineStandIn() }
+    val platform = FakePlatform()
+    val origin = FakeOrigin(20_000_000).apply { publish("m-1", weights) }
+    val engines = listOf("a", "b").associateWith { FakeEngine() }
     val http = httpClient()
     private val running = mutableMapOf<String, Process>()
     val callers = Address(LOOPBACK, freePort())
@@ -54,7 +54,7 @@
     val proxy = FaultProxy { Address(LOOPBACK, targetPorts.getValue("a")) }
 
     init {
-        platform.publish(SealedSet(Revision(1), objects))
+        platform.publish(ObjectSnapshot(Revision(1), objects))
         engines.keys.forEach(::startTarget)
         startEntry()
     }
@@ -86,9 +86,9 @@
         return process.exitValue()
     }
 
-    suspend fun ask(tokens: Int = 20): CallEnd = Caller(http).text(callers, TextCall("/v1/text", "token-tirol", "prompt", tokens))
+    suspend fun ask(tokens: Int = 20): Reply = Caller(http).text(callers, TextCall("/v1/text", "token-tirol", "prompt", tokens))
 
-    suspend fun awaitAnswer() = Site.await { ask() is CallEnd.Whole }
+    suspend fun awaitAnswer() = Site.await { ask() is Reply.Complete }
 
     override fun close() {
         running.values.forEach { it.destroyForcibly().waitFor() }
@@ -125,7 +125,7 @@
                 site.awaitAnswer()
 
                 site.kill("target-b")
-                List(5) { site.ask() }.forEach { it.shouldBeInstanceOf<CallEnd.Whole>() }
+                List(5) { site.ask() }.forEach { it.shouldBeInstanceOf<Reply.Complete>() }
                 site.startTarget("b")
                 val begunBefore =
                     site.engines
@@ -142,7 +142,7 @@
 
                 site.proxy.inject(Fault.SilentOld)
                 val afterSilence = List(6) { site.ask() }
-                afterSilence.filterNot { it is CallEnd.Whole }.shouldBeEmpty()
+                afterSilence.filterNot { it is Reply.Complete }.shouldBeEmpty()
                 site.proxy.inject(Fault.None)
 
                 site.kill("entry")
@@ -154,7 +154,7 @@
                     delay(400.milliseconds)
                     site.stop("target-b")
                     site.stop("entry")
-                    long.awaitAll().forEach { it.shouldBeInstanceOf<CallEnd.Whole>() }
+                    long.awaitAll().forEach { it.shouldBeInstanceOf<Reply.Complete>() }
                 }
                 site.engines.values.sumOf { it.ended.get() } shouldBeGreaterThan 10L
             }
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/RandomRunsTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/RandomRunsTest.kt
@@ -9,7 +9,7 @@
 import io.kotest.matchers.shouldBe
 import kotlinx.coroutines.flow.Flow
 import kotlinx.coroutines.flow.map
-import lagoonrudder.control.RepeatDecision
+import lagoonrudder.control.IdempotencyDecision
 import lagoonrudder.model.Failure
 import lagoonrudder.model.Instance
 import lagoonrudder.standins.measure.runAtMostOnce
@@ -17,7 +17,7 @@
 import lagoonrudder.traffic.ReserveRequest
 import lagoonrudder.traffic.RunEvent
 import lagoonrudder.traffic.RunRequest
-import lagoonrudder.traffic.TargetLink
+import lagoonrudder.traffic.TargetClient
 import lagoonrudder.traffic.checksumOf
 import kotlin.time.Duration
 
@@ -26,12 +26,12 @@
 
 /** Forwards to [client]; the base of deliberate defects. */
 private open class ForwardingLink(
-    private val client: TargetLink,
-) : TargetLink by client
+    private val client: TargetClient,
+) : TargetClient by client
 
 /** A defect: the checksum of each piece is made to fit whatever arrived, and the end mark is believed. */
 private class TrustingLink(
-    private val client: TargetLink,
+    private val client: TargetClient,
 ) : ForwardingLink(client) {
     override fun run(
         target: Instance,
@@ -48,7 +48,7 @@
 
 /** A defect: a failed exchange under a permit is reported as one that never reached the target. */
 private class ForgetfulLink(
-    private val client: TargetLink,
+    private val client: TargetClient,
 ) : ForwardingLink(client) {
     override fun run(
         target: Instance,
@@ -60,8 +60,8 @@
         target: Instance,
         request: ReserveRequest,
         limit: Duration,
-    ): Either<Failure, RepeatDecision> =
-        client.reserve(target, request, limit).fold({ RepeatDecision.Uncertain(it.detail).right() }, { it.right() })
+    ): Either<Failure, IdempotencyDecision> =
+        client.reserve(target, request, limit).fold({ IdempotencyDecision.Uncertain(it.detail).right() }, { it.right() })
 }
 
 class RandomRunsTest :
@@ -70,7 +70,7 @@
             test("a random run with faults keeps every invariant, seed $seed") {
                 val result = runRandomFaults(seed, STEPS)
                 result.failures.shouldBeEmpty()
-                result.responses.count { it is CallEnd.Whole } shouldBeGreaterThan 500
+                result.responses.count { it is Reply.Complete } shouldBeGreaterThan 500
             }
         }
 
@@ -78,7 +78,7 @@
             test("orders under faults run at most once and refusals are true, seed $seed") {
                 val result = runAtMostOnce(seed, 40)
                 listOf(result.doubleRuns, result.falseNotRuns, result.wrong, result.violations) shouldBe listOf(0, 0, 0, 0)
-                result.count { it is CallEnd.Whole } shouldBeGreaterThan 300
+                result.count { it is Reply.Complete } shouldBeGreaterThan 300
             }
         }
 
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/WholePathTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/WholePathTest.kt
@@ -5,7 +5,7 @@
 import io.kotest.matchers.shouldBe
 import io.kotest.matchers.types.shouldBeInstanceOf
 import kotlinx.coroutines.delay
-import lagoonrudder.control.RepeatPolicy
+import lagoonrudder.control.IdempotencyPolicy
 import lagoonrudder.model.VersionId
 import kotlin.time.Duration.Companion.milliseconds
 
@@ -17,20 +17,20 @@
                 site.awaitVersion(VersionId("entry-assistant-1"))
                 val caller = Caller(site.http)
                 val end = caller.text(site.entries().first(), TextCall("/v1/dossier", "token-tirol", "Describe our perry.", 40))
-                end.shouldBeInstanceOf<CallEnd.Whole>().version shouldBe "entry-assistant-1"
+                end.shouldBeInstanceOf<Reply.Complete>().version shouldBe "entry-assistant-1"
                 site.violations.shouldBeEmpty()
             }
         }
 
         test("an order that may run at most once runs once, and its repeat at another entry gets the same answer") {
-            site { build = { repeats = RepeatPolicy(clockSkew = 50.milliseconds) } }.use { site ->
+            site { build = { repeats = IdempotencyPolicy(clockSkew = 50.milliseconds) } }.use { site ->
                 site.start(sampleObjects(festival))
                 site.awaitReady()
                 delay(100.milliseconds)
                 val caller = Caller(site.http)
-                val key = keyIssuedAt(System.currentTimeMillis())
+                val key = uuidV7At(System.currentTimeMillis())
                 val ends = site.entries().map { caller.order(it, "/v1/entry-application", "token-tirol", key, "fee-17") }
-                ends.forEach { it.shouldBeInstanceOf<CallEnd.Whole>() }
+                ends.forEach { it.shouldBeInstanceOf<Reply.Complete>() }
                 site.services.values.sumOf { it.runs["fee-17"] ?: 0 } shouldBe 1
                 site.violations.shouldBeEmpty()
             }
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/direct/DirectSiteTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/direct/DirectSiteTest.kt
@@ -7,7 +7,7 @@
 import lagoonrudder.http.HttpResponse
 import kotlin.time.Duration.Companion.seconds
 
-private val WHOLE = (1..WorkerStandIn.EVENTS).joinToString("") { "id: $it\ndata: $it\n\n" }
+private val WHOLE = (1..FakeWorker.EVENTS).joinToString("") { "id: $it\ndata: $it\n\n" }
 
 private val HttpResponse?.text get() = this?.body?.decodeToString()
 
@@ -52,16 +52,16 @@
 
         test("a stream that breaks off in an event goes on at another back end within the same answer") {
             withSite(entries = 1, workers = 2) {
-                workers.first().mood = WorkerMood.BREAKS_OFF
+                workers.first().mood = WorkerBehavior.BREAKS_OFF
                 repeat(6) { request().text shouldBe WHOLE }
             }
         }
 
         test("a back end that turns requests away is passed over, and when all do the caller is told when to come back") {
             withSite(entries = 1, workers = 2) {
-                workers.first().mood = WorkerMood.FULL
+                workers.first().mood = WorkerBehavior.FULL
                 repeat(4) { request().text shouldBe WHOLE }
-                workers.forEach { it.mood = WorkerMood.FULL }
+                workers.forEach { it.mood = WorkerBehavior.FULL }
                 val refused = request().shouldNotBeNull()
                 refused.head.status shouldBe 503
                 refused.head.field("Retry-After").shouldNotBeNull()
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/Messages.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/Messages.kt
@@ -5,9 +5,9 @@
 
 import arrow.core.Either
 import kotlinx.coroutines.flow.Flow
-import lagoonrudder.control.RepeatDecision
-import lagoonrudder.control.Room
-import lagoonrudder.control.Surrender
+import lagoonrudder.control.IdempotencyDecision
+import lagoonrudder.control.TargetLoad
+import lagoonrudder.control.SurrenderResult
 import lagoonrudder.control.SwitchReport
 import lagoonrudder.control.TargetReport
 import lagoonrudder.model.CustomerId
@@ -16,7 +16,7 @@
 import lagoonrudder.model.FleetId
 import lagoonrudder.model.Instance
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
 import lagoonrudder.model.VersionId
@@ -41,7 +41,7 @@
 
 /** The proof that a request which may run at most once may run now. */
 data class RunPermit(
-    val key: RepeatKey,
+    val key: IdempotencyKey,
     val number: Long,
 )
 
@@ -66,10 +66,10 @@
 
 /** Part of the answer of one attempt. */
 sealed class RunEvent {
-    /** The attempt did not run and will not run; [room] is what the target has, when it could say. */
+    /** The attempt did not run and will not run; [load] is what the target has, when it could say. */
     data class NotRun(
         val refusal: Refusal,
-        val room: Room?,
+        val load: TargetLoad?,
     ) : RunEvent()
 
     data class Head(
@@ -91,31 +91,31 @@
     data class End(
         val length: Long,
         val checksum: Long,
-        val room: Room?,
+        val load: TargetLoad?,
     ) : RunEvent()
 }
 
 data class ReserveRequest(
     val request: RequestId,
     val fleet: FleetId,
-    val key: RepeatKey,
+    val key: IdempotencyKey,
     val body: Digest,
     val revision: Revision,
 )
 
 /** The new owner of a key asks an earlier one to give it up. */
 data class SurrenderRequest(
-    val key: RepeatKey,
+    val key: IdempotencyKey,
     val revision: Revision,
 )
 
 /** A connection to target daemons. Failures say whether anything may have left this process. */
-interface TargetLink {
+interface TargetClient {
     suspend fun reserve(
         target: Instance,
         request: ReserveRequest,
         limit: Duration,
-    ): Either<Failure, RepeatDecision>
+    ): Either<Failure, IdempotencyDecision>
 
     /** Runs one attempt; the flow ends after a failure, a refusal or the end mark, and cancelling it cancels the attempt. */
     fun run(
@@ -136,7 +136,7 @@
         target: Instance,
         request: SurrenderRequest,
         limit: Duration,
-    ): Either<Failure, Surrender>
+    ): Either<Failure, SurrenderResult>
 
     /** Drops the connection to [target]; the next use opens a new one. */
     fun reset(target: Instance)
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/AnswerCheck.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/ResponseVerifier.kt
@@ -6,7 +6,7 @@
 import java.util.zip.CRC32C
 
 /** Follows an answer that starts at [offset]. */
-class AnswerCheck(
+class ResponseVerifier(
     offset: Long,
 ) {
     var length: Long = offset
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectCall.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectCall.kt
@@ -14,21 +14,21 @@
 import kotlin.time.Duration
 
 /**
- * What the identify filter found. [endsAt] is when the caller or the route stops waiting; [isLate] tells that the caller has
+ * What the identify filter found. [deadline] is when the caller or the route stops waiting; [isLate] tells that the caller has
  * waited longer than the route's objective before it sent this, for example because an earlier request was refused.
  */
-class DirectIdentity(
+class DirectRequestContext(
     val revision: Revision,
     val route: ServingRoute,
     val customer: ServingCustomer?,
     val service: ServiceId,
-    val endsAt: Duration,
+    val deadline: Duration,
     val priority: Int,
-    val homes: List<Set<RegionId>>,
+    val homeRegions: List<Set<RegionId>>,
     val isLate: Boolean,
 ) {
     /** What is left of the caller's and the route's time. */
-    fun timeLeft(clock: Clock): Duration = endsAt - clock.elapsed()
+    fun timeLeft(clock: Clock): Duration = deadline - clock.elapsed()
 }
 
 /** One attempt and how it went, for the log. */
@@ -38,22 +38,22 @@
 )
 
 class DirectCall(
-    val request: CallerRequest,
-    val answer: CallerAnswer,
+    val request: DirectRequest,
+    val answer: CallerResponse,
     val receivedAt: Duration,
 ) {
-    private var known: DirectIdentity? = null
+    private var known: DirectRequestContext? = null
     val attempts = mutableListOf<AttemptRecord>()
-    var waited: Duration = Duration.ZERO
-    var firstEventAfter: Duration? = null
+    var queueTime: Duration = Duration.ZERO
+    var timeToFirstEvent: Duration? = null
     var lastFailure: Failure? = null
 
-    val identityOrNull: DirectIdentity? get() = known
+    val contextOrNull: DirectRequestContext? get() = known
 
     /** What the identify filter found; only filters after it may ask. */
-    val identity: DirectIdentity get() = checkNotNull(known) { "asked before the identify filter" }
+    val context: DirectRequestContext get() = checkNotNull(known) { "asked before the identify filter" }
 
-    fun identify(identity: DirectIdentity) {
-        known = identity
+    fun identify(context: DirectRequestContext) {
+        known = context
     }
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectFilters.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectFilters.kt
@@ -10,7 +10,7 @@
 import lagoonrudder.model.ServiceId
 import lagoonrudder.model.ServingCustomer
 import lagoonrudder.model.ServingRoute
-import lagoonrudder.model.ServingSet
+import lagoonrudder.model.ServingConfiguration
 import lagoonrudder.model.Step
 import lagoonrudder.traffic.Filter
 import lagoonrudder.traffic.Next
@@ -20,14 +20,14 @@
 
 fun directFilters(
     control: DirectControl,
-    link: BackEndLink,
+    link: BackEndClient,
     random: Random,
     ended: (DirectCall, Outcome?) -> Unit,
 ): List<Filter<DirectCall>> =
-    listOf(DirectAccountFilter(ended), DirectIdentifyFilter(control, random), DirectSendFilter(control, link, DirectLimits()))
+    listOf(DirectAccountingFilter(ended), DirectIdentifyFilter(control, random), DirectSendFilter(control, link, DirectLimits()))
 
 /** Tells [ended] how each request went; a null outcome means that the caller left. */
-class DirectAccountFilter(
+class DirectAccountingFilter(
     private val ended: (DirectCall, Outcome?) -> Unit,
 ) : Filter<DirectCall> {
     override suspend fun handle(
@@ -55,30 +55,30 @@
         val confirmation = control.thread.decide { control.confirmation() }
         withTimeoutOrNull(CONFIRM_LIMIT) { confirmation.await() }
         val serving =
-            control.thread.decide { control.publication.serving } ?: return refused(Refusal.NotServing(RETRY_AFTER, "no configuration"))
+            control.thread.decide { control.storeView.serving } ?: return refused(Refusal.NotServing(RETRY_AFTER, "no configuration"))
         val refusal = identify(call, serving)
         return if (refusal != null) refused(refusal) else next.proceed(call)
     }
 
     private fun identify(
         call: DirectCall,
-        serving: ServingSet,
+        serving: ServingConfiguration,
     ): Refusal? {
         val request = call.request
         val route = serving.route(request.host, request.path.substringBefore('?')) ?: return Refusal.UnknownRoute
-        val customer = request.key?.let { serving.customerOf(it) }
-        if (serving.asksForKeys && !route.open && customer == null) return Refusal.UnknownCustomer
+        val customer = request.apiKey?.let { serving.customerByApiKey(it) }
+        if (serving.requiresApiKeys && !route.open && customer == null) return Refusal.UnknownCustomer
         val service = pick(route) ?: return Refusal.NoTarget(RETRY_AFTER)
         val limit = request.timeLeft?.let { minOf(route.timeout, it) } ?: route.timeout
         call.identify(
-            DirectIdentity(
+            DirectRequestContext(
                 revision = serving.revision,
                 route = route,
                 customer = customer.takeUnless { route.open },
                 service = service,
-                endsAt = call.receivedAt + limit,
+                deadline = call.receivedAt + limit,
                 priority = customer?.priority ?: route.priority,
-                homes = listOf(route.homes, homesOf(customer)),
+                homeRegions = listOf(route.homeRegions, homesOf(customer)),
                 isLate = isLate(request, route),
             ),
         )
@@ -87,11 +87,11 @@
 
     /** A caller that goes on with a stream it has begun isn't late: the stream is. */
     private fun isLate(
-        request: CallerRequest,
+        request: DirectRequest,
         route: ServingRoute,
-    ): Boolean = request.resumeAfter == null && request.timeLeft?.let { it < route.timeout - route.objective } ?: false
+    ): Boolean = request.resumeAfter == null && request.timeLeft?.let { it < route.timeout - route.latencyObjective } ?: false
 
-    private fun homesOf(customer: ServingCustomer?) = customer?.homes.orEmpty()
+    private fun homesOf(customer: ServingCustomer?) = customer?.homeRegions.orEmpty()
 
     private fun pick(route: ServingRoute): ServiceId? {
         var rest = random.nextDouble() * route.shares.sumOf { it.weight }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectMessages.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectMessages.kt
@@ -17,12 +17,12 @@
  * A caller's request. [timeLeft] is what the caller still waits, [promptTokens] what it says of its prompt; [fields] are passed
  * on as they are.
  */
-class CallerRequest(
+class DirectRequest(
     val request: RequestId,
     val method: String,
     val host: String,
     val path: String,
-    val key: String?,
+    val apiKey: String?,
     val timeLeft: Duration?,
     val resumeAfter: EventId?,
     val promptTokens: Int?,
@@ -32,7 +32,7 @@
 
 /** One attempt at [backEnd]. A back end that isn't that one, or holds another version than [number], must not run it. */
 class DirectAttempt(
-    val caller: CallerRequest,
+    val caller: DirectRequest,
     val backEnd: BackEnd,
     val customer: CustomerId?,
     val priority: Int,
@@ -54,7 +54,7 @@
 }
 
 /** The start of a back end's answer; [fields] are passed on as they are. */
-class AnswerHead(
+class ResponseHead(
     val status: Int,
     val fields: List<HeaderField>,
     val length: Long?,
@@ -69,47 +69,47 @@
 }
 
 /** What a back end sends, in this order: a head, bytes, an end. [Broken] may take the place of any of them. */
-sealed class AnswerEvent {
+sealed class ResponseEvent {
     class Head(
-        val head: AnswerHead,
-    ) : AnswerEvent()
+        val head: ResponseHead,
+    ) : ResponseEvent()
 
     class Bytes(
         val data: ByteArray,
-    ) : AnswerEvent()
+    ) : ResponseEvent()
 
-    data object End : AnswerEvent()
+    data object End : ResponseEvent()
 
     data class Broken(
         val detail: String,
-    ) : AnswerEvent()
+    ) : ResponseEvent()
 }
 
 /** An attempt that was sent. */
 interface OpenAttempt {
-    suspend fun next(): AnswerEvent
+    suspend fun next(): ResponseEvent
 
     /** Stops the back end's work by closing the connection, unless the answer has ended. */
     fun abandon()
 }
 
 /** Connections to back ends. */
-interface BackEndLink {
+interface BackEndClient {
     /** Sends an attempt; a [Failure.Unreachable] means that nothing was sent. */
     suspend fun send(attempt: DirectAttempt): Either<Failure, OpenAttempt>
 
     /** A connection to [backEnd] went silent, so the others that are kept may be dead as well. */
-    fun distrust(backEnd: BackEnd)
+    fun discardIdleConnections(backEnd: BackEnd)
 }
 
 /** The caller's end of a request. */
-interface CallerAnswer {
-    suspend fun whole(
-        head: AnswerHead,
+interface CallerResponse {
+    suspend fun respond(
+        head: ResponseHead,
         body: ByteArray,
     )
 
-    suspend fun begin(head: AnswerHead)
+    suspend fun begin(head: ResponseHead)
 
     /** Sends bytes on; suspends while the caller does not read. */
     suspend fun write(bytes: ByteArray)
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectRelay.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectRelay.kt
@@ -17,11 +17,11 @@
     private val clock: Clock,
 ) {
     private val answer = call.answer
-    private var head: AnswerHead? = null
+    private var head: ResponseHead? = null
     private var held = ByteArrayOutputStream(0)
     private var splitter = EventSplitter()
     private var passed = 0L
-    private var failureKept: Pair<AnswerHead, ByteArray>? = null
+    private var failureKept: Pair<ResponseHead, ByteArray>? = null
 
     /** Whether the caller has got the start of an answer. */
     var begun = false
@@ -50,26 +50,26 @@
 
     /** Takes one event of an attempt; returns how the attempt ended, or null while it goes on. */
     suspend fun take(
-        event: AnswerEvent,
+        event: ResponseEvent,
         kind: RequestKind,
     ): DirectResult? {
         heard = true
         return when (event) {
-            is AnswerEvent.Head -> takeHead(event.head)
-            is AnswerEvent.Bytes -> takeBytes(event.data, kind)
-            AnswerEvent.End -> takeEnd()
-            is AnswerEvent.Broken -> DirectResult.Lost(event.detail)
+            is ResponseEvent.Head -> takeHead(event.head)
+            is ResponseEvent.Bytes -> takeBytes(event.data, kind)
+            ResponseEvent.End -> takeEnd()
+            is ResponseEvent.Broken -> DirectResult.Lost(event.detail)
         }
     }
 
     /** Passes the failure of a back end on and returns its length. */
     suspend fun passFailure(): Long {
         val (head, body) = checkNotNull(failureKept)
-        answer.whole(head, body)
+        answer.respond(head, body)
         return body.size.toLong()
     }
 
-    private fun takeHead(next: AnswerHead): DirectResult? {
+    private fun takeHead(next: ResponseHead): DirectResult? {
         head = next
         return when (next.execution) {
             Execution.NOT_RUN -> DirectResult.NotRun(reached = true, "status ${next.status}")
@@ -99,7 +99,7 @@
 
     private suspend fun takeEvents(
         data: ByteArray,
-        current: AnswerHead,
+        current: ResponseHead,
     ): DirectResult? {
         for (event in splitter.take(data)) {
             val id = event.id
@@ -127,13 +127,13 @@
             if (current.status >= SERVER_FAILURE) return DirectResult.Failed(current.status)
             return DirectResult.Completed(passFailure())
         }
-        if (begun) answer.end() else answer.whole(current, held.toByteArray())
+        if (begun) answer.end() else answer.respond(current, held.toByteArray())
         return DirectResult.Completed(passed + held.size())
     }
 
-    private suspend fun begin(head: AnswerHead) {
+    private suspend fun begin(head: ResponseHead) {
         begun = true
-        call.firstEventAfter = clock.elapsed() - call.receivedAt
+        call.timeToFirstEvent = clock.elapsed() - call.receivedAt
         answer.begin(head)
     }
 
@@ -142,7 +142,7 @@
         answer.write(data)
     }
 
-    private fun AnswerHead.copyWithoutLength() = AnswerHead(status, fields, null, execution, number)
+    private fun ResponseHead.copyWithoutLength() = ResponseHead(status, fields, null, execution, number)
 
     private companion object {
         const val HOLD_BACK_BYTES = 65_536
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectSendFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/direct/DirectSendFilter.kt
@@ -13,9 +13,9 @@
 import kotlinx.coroutines.NonCancellable
 import kotlinx.coroutines.withContext
 import kotlinx.coroutines.withTimeoutOrNull
-import lagoonrudder.control.direct.AttemptEnd
+import lagoonrudder.control.direct.AttemptOutcome
 import lagoonrudder.control.direct.Placement
-import lagoonrudder.control.direct.PlacementNeed
+import lagoonrudder.control.direct.PlacementRequest
 import lagoonrudder.model.BackEnd
 import lagoonrudder.model.Failure
 import lagoonrudder.model.Outcome
@@ -33,12 +33,12 @@
 import lagoonrudder.traffic.Next as NextFilter
 
 /**
- * [patience] is the part of a route's objective that a request may wait for a place, [resume] how long a stream that has
+ * [maxWait] is the part of a route's objective that a request may wait for a place, [resume] how long a stream that has
  * begun may; [firstEvent] and [nextEvent] bound the silence of a back end whose request may go elsewhere; [refusals] bounds
  * the back ends that may turn one request away.
  */
 data class DirectLimits(
-    val patience: Double = 0.1,
+    val maxWait: Double = 0.1,
     val firstEvent: Duration = 1_200.milliseconds,
     val nextEvent: Duration = 1_000.milliseconds,
     val resume: Duration = 800.milliseconds,
@@ -48,7 +48,7 @@
 
 class DirectSendFilter(
     private val control: DirectControl,
-    private val link: BackEndLink,
+    private val link: BackEndClient,
     private val limits: DirectLimits,
 ) : Filter<DirectCall> {
     override suspend fun handle(
@@ -89,22 +89,22 @@
 private class DirectSending(
     private val call: DirectCall,
     private val control: DirectControl,
-    private val link: BackEndLink,
+    private val link: BackEndClient,
     private val limits: DirectLimits,
 ) {
-    private val identity = call.identity
-    private val kind = identity.route.kind
+    private val context = call.context
+    private val kind = context.route.kind
     private val relay = DirectRelay(call, control.clock)
-    private val passedOver = mutableSetOf<TargetId>()
+    private val excluded = mutableSetOf<TargetId>()
     private var runs = 0
     private var refusals = 0
     private var mayHaveRun: DirectResult.Lost? = null
     private var number: WeightNumber? = null
 
     suspend fun run(): Outcome {
-        control.thread.decide { control.repeats.requested(identity.service, control.clock.elapsed()) }
+        control.thread.decide { control.repeats.recordRequest(context.service, control.clock.elapsed()) }
         // Waits within an attempt end by themselves; this limit is for a caller that does not read.
-        return withTimeoutOrNull(identity.timeLeft(control.clock) + SLOW_READER_MARGIN) { attempts() } ?: outOfTime()
+        return withTimeoutOrNull(context.timeLeft(control.clock) + SLOW_READER_MARGIN) { attempts() } ?: outOfTime()
     }
 
     private suspend fun attempts(): Outcome {
@@ -116,7 +116,7 @@
                 }
             val result = counted(backEnd) { attempt(backEnd) }
             call.attempts += AttemptRecord(backEnd.id, describe(result))
-            passedOver += backEnd.id
+            excluded += backEnd.id
             val outcome =
                 when (result) {
                     is DirectResult.Completed -> return Outcome.Completed(result.length, null)
@@ -131,52 +131,52 @@
 
     private suspend fun place(): Placement {
         val asked = control.clock.elapsed()
-        val timeLeft = identity.timeLeft(control.clock)
+        val timeLeft = context.timeLeft(control.clock)
         if (timeLeft <= Duration.ZERO) return Placement.Refused(Refusal.TooLate(limits.retryAfter), "time is over")
-        val patience = minOf(patience(), timeLeft)
-        val priority = if (relay.begun) FIRST else identity.priority
+        val maxWait = minOf(maxWait(), timeLeft)
+        val priority = if (relay.begun) FIRST else context.priority
         val need =
-            PlacementNeed(
-                service = identity.service,
-                customer = identity.customer?.id,
+            PlacementRequest(
+                service = context.service,
+                customer = context.customer?.id,
                 priority = priority,
-                homes = identity.homes,
-                passedOver = passedOver.toSet(),
+                homeRegions = context.homeRegions,
+                excluded = excluded.toSet(),
                 number = relay.number,
                 promptTokens = call.request.promptTokens ?: 0,
-                isLate = identity.isLate,
+                isLate = context.isLate,
             )
         val decision =
             withContext(NonCancellable) {
-                control.thread.decide { control.placement.place(need, patience, control.clock.elapsed()) }
+                control.thread.decide { control.placement.place(need, maxWait, control.clock.elapsed()) }
             }
         var taken = false
         try {
             val placement =
-                withTimeoutOrNull(patience) { decision.await() } ?: run {
-                    control.thread.decide { control.placement.decideNow(decision, control.clock.elapsed()) }
+                withTimeoutOrNull(maxWait) { decision.await() } ?: run {
+                    control.thread.decide { control.placement.onWaitTimeout(decision, control.clock.elapsed()) }
                     decision.await()
                 }
             return placement.also { taken = true }
         } finally {
-            call.waited += control.clock.elapsed() - asked
+            call.queueTime += control.clock.elapsed() - asked
             if (!taken) withContext(NonCancellable) { control.thread.decide { giveBack(decision) } }
         }
     }
 
-    private fun patience(): Duration =
+    private fun maxWait(): Duration =
         when {
             relay.begun -> limits.resume
-            call.attempts.isEmpty() -> identity.route.objective * limits.patience
+            call.attempts.isEmpty() -> context.route.latencyObjective * limits.maxWait
             else -> REPEAT_PATIENCE
         }
 
     /** Frees the place of a request whose coroutine ended while it waited; runs on the control thread. */
     @OptIn(ExperimentalCoroutinesApi::class)
     private fun giveBack(decision: CompletableDeferred<Placement>) {
-        if (!decision.isCompleted) return control.placement.withdraw(decision)
+        if (!decision.isCompleted) return control.placement.cancelWaiting(decision)
         val placed = decision.getCompleted() as? Placement.Placed ?: return
-        control.placement.ended(placed.backEnd.id, identity.customer?.id, AttemptEnd.ABANDONED, control.clock.elapsed())
+        control.placement.ended(placed.backEnd.id, context.customer?.id, AttemptOutcome.ABANDONED, control.clock.elapsed())
     }
 
     /** Runs one attempt and tells the controllers how the back end did. */
@@ -184,12 +184,12 @@
         backEnd: BackEnd,
         attempt: suspend () -> DirectResult,
     ): DirectResult {
-        var end = AttemptEnd.ABANDONED
+        var end = AttemptOutcome.ABANDONED
         try {
             return attempt().also { end = endOf(it) }
         } finally {
             withContext(NonCancellable) {
-                control.thread.decide { control.placement.ended(backEnd.id, identity.customer?.id, end, control.clock.elapsed()) }
+                control.thread.decide { control.placement.ended(backEnd.id, context.customer?.id, end, control.clock.elapsed()) }
             }
         }
     }
@@ -199,9 +199,9 @@
             DirectAttempt(
                 caller = call.request,
                 backEnd = backEnd,
-                customer = identity.customer?.id,
-                priority = identity.priority,
-                timeLeft = identity.timeLeft(control.clock),
+                customer = context.customer?.id,
+                priority = context.priority,
+                timeLeft = context.timeLeft(control.clock),
                 number = number,
                 resumeAfter = relay.last ?: call.request.resumeAfter,
             )
@@ -232,7 +232,7 @@
     /** What the wait for the next event brought. */
     private sealed class Next {
         class Event(
-            val event: AnswerEvent,
+            val event: ResponseEvent,
         ) : Next()
 
         /** The back end was silent for too long, and another one may be tried. */
@@ -242,18 +242,18 @@
     }
 
     private suspend fun nextOf(open: OpenAttempt): Next {
-        val mayMove = kind.repeatable && runs + 1 < identity.route.attempts
+        val mayMove = kind.retryable && runs + 1 < context.route.attempts
         val limit = if (relay.begun) limits.nextEvent else limits.firstEvent
-        if (mayMove && limit < identity.timeLeft(control.clock)) {
+        if (mayMove && limit < context.timeLeft(control.clock)) {
             withTimeoutOrNull(limit) { open.next() }?.let { return Next.Event(it) }
             if (spend()) return Next.Silence
         }
-        val event = withTimeoutOrNull(identity.timeLeft(control.clock)) { open.next() }
+        val event = withTimeoutOrNull(context.timeLeft(control.clock)) { open.next() }
         return if (event == null) Next.OutOfTime else Next.Event(event)
     }
 
     private fun silent(backEnd: BackEnd): DirectResult {
-        link.distrust(backEnd)
+        link.discardIdleConnections(backEnd)
         return DirectResult.Lost("silent", silent = true)
     }
 
@@ -266,20 +266,20 @@
     private suspend fun afterLoss(result: DirectResult.Lost): Outcome? {
         runs++
         mayHaveRun = result
-        val again = kind.repeatable && runs < identity.route.attempts && (result.silent || spend())
+        val again = kind.retryable && runs < context.route.attempts && (result.silent || spend())
         return if (again) null else ended(result.detail)
     }
 
     private suspend fun afterFailure(result: DirectResult.Failed): Outcome? {
         runs++
-        val again = kind is RequestKind.Idempotent && runs < identity.route.attempts && spend()
+        val again = kind is RequestKind.Idempotent && runs < context.route.attempts && spend()
         if (again) return null
         return Outcome.Completed(relay.passFailure(), null).also { call.lastFailure = failure("status ${result.status}") }
     }
 
     private suspend fun spend(): Boolean =
         control.thread.decide {
-            control.repeats.spend(identity.service, control.peers.entryCount(control.clock.elapsed()), control.clock.elapsed())
+            control.repeats.spend(context.service, control.peers.entryCount(control.clock.elapsed()), control.clock.elapsed())
         }
 
     private suspend fun nowhere(placement: Placement.Refused): Outcome {
@@ -319,13 +319,13 @@
             detail,
         )
 
-    private fun endOf(result: DirectResult): AttemptEnd =
+    private fun endOf(result: DirectResult): AttemptOutcome =
         when (result) {
-            is DirectResult.Completed -> AttemptEnd.ANSWERED
-            is DirectResult.NotRun -> if (result.reached) AttemptEnd.NOT_RUN else AttemptEnd.UNREACHABLE
-            is DirectResult.Lost -> if (result.silent) AttemptEnd.SILENT else AttemptEnd.FAILED
-            is DirectResult.OutOfTime -> if (result.silent) AttemptEnd.SILENT else AttemptEnd.ABANDONED
-            is DirectResult.Failed -> AttemptEnd.FAILED
+            is DirectResult.Completed -> AttemptOutcome.ANSWERED
+            is DirectResult.NotRun -> if (result.reached) AttemptOutcome.NOT_RUN else AttemptOutcome.UNREACHABLE
+            is DirectResult.Lost -> if (result.silent) AttemptOutcome.TIMED_OUT else AttemptOutcome.FAILED
+            is DirectResult.OutOfTime -> if (result.silent) AttemptOutcome.TIMED_OUT else AttemptOutcome.ABANDONED
+            is DirectResult.Failed -> AttemptOutcome.FAILED
         }
 
     private fun describe(result: DirectResult): String =
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AccountFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AccountingFilter.kt
@@ -20,7 +20,7 @@
     )
 }
 
-class AccountFilter(
+class AccountingFilter(
     private val control: EntryControl,
     private val clock: Clock,
     private val listener: EntryListener,
@@ -29,10 +29,10 @@
         call: EntryCall,
         next: Next<EntryCall>,
     ): Outcome {
-        control.thread.decide { control.service.began() }
+        control.thread.decide { control.service.onRequestStarted() }
         try {
             val outcome = next.proceed(call)
-            listener.ended(call, outcome, clock.elapsed() - call.arrived)
+            listener.ended(call, outcome, clock.elapsed() - call.receivedAt)
             return outcome
         } finally {
             withContext(NonCancellable) { control.thread.decide { control.service.ended() } }
@@ -42,9 +42,9 @@
 
 /** The filters of an entry daemon in their order. */
 fun entryFilters(
-    account: AccountFilter,
+    account: AccountingFilter,
     identify: IdentifyFilter,
-    admit: AdmitFilter,
+    admit: AdmissionFilter,
     relay: RelayFilter,
     send: SendFilter,
-): List<Filter<EntryCall>> = listOf(account, identify, GuardRepeatsFilter(), admit, relay, send)
+): List<Filter<EntryCall>> = listOf(account, identify, IdempotencyKeyFilter(), admit, relay, send)
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AdmitFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AdmissionFilter.kt
@@ -7,17 +7,17 @@
 import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.NonCancellable
 import kotlinx.coroutines.withContext
-import lagoonrudder.control.Dispatched
-import lagoonrudder.control.Need
-import lagoonrudder.control.QueueLine
-import lagoonrudder.control.Waiting
+import lagoonrudder.control.DispatchResult
+import lagoonrudder.control.RoutingRequest
+import lagoonrudder.control.QueueKey
+import lagoonrudder.control.QueuedRequest
 import lagoonrudder.control.keyOwners
 import lagoonrudder.control.ownerOf
 import lagoonrudder.control.prefixOf
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.Peer
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.traffic.Filter
@@ -25,21 +25,21 @@
 import lagoonrudder.traffic.Work
 import kotlin.time.Duration.Companion.seconds
 
-class AdmitFilter(
+class AdmissionFilter(
     private val control: EntryControl,
 ) : Filter<EntryCall> {
     override suspend fun handle(
         call: EntryCall,
         next: Next<EntryCall>,
     ): Outcome {
-        val identity = call.identity
-        val key = identity.key.takeUnless { identity.route.idempotent }
-        val owner = key?.let { ownerFor(identity, it) }
+        val context = call.context
+        val key = context.key.takeUnless { context.route.idempotent }
+        val owner = key?.let { ownerFor(context, it) }
         if (key != null && owner == null) return Outcome.Refused(Refusal.NoTarget(RETRY), Step.CHOOSE_TARGET, Peer.SELF)
-        call.ticket = ticketFor(identity, owner)
-        return when (val turn = awaitTurn(control, call.ticket) { enter(it) }) {
-            is Dispatched.Refused -> Outcome.Refused(turn.refusal, Step.ADMIT, Peer.SELF)
-            is Dispatched.Go -> {
+        call.ticket = ticketFor(context, owner)
+        return when (val turn = awaitTurn(control, call.ticket) { enqueue(it) }) {
+            is DispatchResult.Refused -> Outcome.Refused(turn.refusal, Step.ADMIT, Peer.SELF)
+            is DispatchResult.Sent -> {
                 call.choice = turn
                 next.proceed(call)
             }
@@ -47,35 +47,35 @@
     }
 
     private suspend fun ownerFor(
-        identity: Identity,
-        key: RepeatKey,
+        context: RequestContext,
+        key: IdempotencyKey,
     ): TargetId? {
         val set = control.thread.decide { control.configuration.current }
-        return ownerOf(key, keyOwners(set.objects, identity.fleet))
+        return ownerOf(key, keyOwners(set.objects, context.fleet))
     }
 
     private fun ticketFor(
-        identity: Identity,
+        context: RequestContext,
         owner: TargetId?,
     ): Ticket {
         val waiting =
-            Waiting(
-                id = identity.request,
-                line = QueueLine(identity.fleet.id, owner),
-                customer = identity.customer.id,
-                weight = identity.customer.weight,
-                priority = identity.route.priority,
-                cost = identity.tokens,
-                bytes = identity.bytes,
-                deadline = identity.deadline,
+            QueuedRequest(
+                id = context.request,
+                queueKey = QueueKey(context.fleet.id, owner),
+                customer = context.customer.id,
+                weight = context.customer.weight,
+                priority = context.route.priority,
+                cost = context.tokens,
+                bytes = context.bytes,
+                deadline = context.deadline,
             )
         val need =
-            Need(
-                fleet = identity.fleet.id,
+            RoutingRequest(
+                fleet = context.fleet.id,
                 owner = owner,
-                tokens = identity.tokens,
-                bytes = identity.bytes,
-                prefix = (identity.work as? Work.Generate)?.let { prefixOf(it.prompt) },
+                tokens = context.tokens,
+                bytes = context.bytes,
+                prefix = (context.work as? Work.Generate)?.let { prefixOf(it.prompt) },
                 excluded = emptySet(),
             )
         return Ticket(waiting, need)
@@ -90,9 +90,9 @@
 internal suspend fun awaitTurn(
     control: EntryControl,
     ticket: Ticket,
-    join: EntryControl.(Ticket) -> Deferred<Dispatched>,
-): Dispatched {
-    var turn: Dispatched? = null
+    join: EntryControl.(Ticket) -> Deferred<DispatchResult>,
+): DispatchResult {
+    var turn: DispatchResult? = null
     val sleeper = control.thread.decide { control.join(ticket) }
     try {
         return sleeper.await().also { turn = it }
@@ -101,7 +101,7 @@
             withContext(NonCancellable) {
                 control.thread.decide {
                     val granted = if (sleeper.isCompleted) sleeper.getCompletedOrNull() else null
-                    if (granted is Dispatched.Go) control.ended(ticket, granted.target, failed = false) else control.leave(ticket)
+                    if (granted is DispatchResult.Sent) control.ended(ticket, granted.target, failed = false) else control.withdraw(ticket)
                 }
             }
         }
@@ -109,4 +109,4 @@
 }
 
 @OptIn(ExperimentalCoroutinesApi::class)
-private fun Deferred<Dispatched>.getCompletedOrNull(): Dispatched? = if (getCompletionExceptionOrNull() == null) getCompleted() else null
+private fun Deferred<DispatchResult>.getCompletedOrNull(): DispatchResult? = if (getCompletionExceptionOrNull() == null) getCompleted() else null
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryCall.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryCall.kt
@@ -3,12 +3,12 @@
  */
 package lagoonrudder.traffic.entry
 
-import lagoonrudder.control.Dispatched
-import lagoonrudder.control.Need
-import lagoonrudder.control.Waiting
+import lagoonrudder.control.DispatchResult
+import lagoonrudder.control.RoutingRequest
+import lagoonrudder.control.QueuedRequest
 import lagoonrudder.model.Failure
 import lagoonrudder.model.OperatorObject
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
 import lagoonrudder.model.VersionId
@@ -20,13 +20,13 @@
     val method: String,
     val path: String,
     val token: String,
-    val key: RepeatKey?,
+    val key: IdempotencyKey?,
     val contentType: String,
     val body: ByteArray,
 )
 
 /** The way back to the caller. Every function suspends until the caller has taken what was given. */
-interface AnswerSink {
+interface ResponseSink {
     /** Starts an answer; called once, before any bytes. */
     suspend fun start(
         status: Int,
@@ -47,14 +47,14 @@
 }
 
 /** What the system knows of a request once it is identified. */
-data class Identity(
+data class RequestContext(
     val request: RequestId,
     val route: OperatorObject.Route,
     val fleet: OperatorObject.Fleet,
     val customer: OperatorObject.Customer,
     val revision: Revision,
     val work: Work,
-    val key: RepeatKey?,
+    val key: IdempotencyKey?,
     val deadline: Duration,
     val tokens: Long,
     val bytes: Long,
@@ -62,21 +62,21 @@
 
 /** A place in the line and what the request needs. */
 data class Ticket(
-    val waiting: Waiting,
-    val need: Need,
+    val waiting: QueuedRequest,
+    val need: RoutingRequest,
 )
 
 class EntryCall(
     val caller: CallerRequest,
-    val sink: AnswerSink,
-    val arrived: Duration,
+    val sink: ResponseSink,
+    val receivedAt: Duration,
 ) {
-    lateinit var identity: Identity
+    lateinit var context: RequestContext
 
     /** The identity, or null while the request is not identified. */
-    fun identityOrNull(): Identity? = if (::identity.isInitialized) identity else null
+    fun contextOrNull(): RequestContext? = if (::context.isInitialized) context else null
 
     lateinit var ticket: Ticket
-    lateinit var choice: Dispatched.Go
-    lateinit var relay: AnswerRelay
+    lateinit var choice: DispatchResult.Sent
+    lateinit var relay: ResponseRelay
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryControl.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryControl.kt
@@ -10,16 +10,16 @@
 import lagoonrudder.control.ConfigurationController
 import lagoonrudder.control.ControlThread
 import lagoonrudder.control.DispatchController
-import lagoonrudder.control.Dispatched
+import lagoonrudder.control.DispatchResult
 import lagoonrudder.control.DumpSection
-import lagoonrudder.control.HoldDecision
+import lagoonrudder.control.BufferDecision
 import lagoonrudder.control.MembershipController
 import lagoonrudder.control.QueueDecision
-import lagoonrudder.control.ReaderMemoryController
+import lagoonrudder.control.ResponseBufferController
 import lagoonrudder.control.RetryBudget
-import lagoonrudder.control.Room
+import lagoonrudder.control.TargetLoad
 import lagoonrudder.control.RoutingController
-import lagoonrudder.control.ServiceController
+import lagoonrudder.control.ServingController
 import lagoonrudder.control.TargetReport
 import lagoonrudder.control.dumpSection
 import lagoonrudder.control.entry
@@ -38,40 +38,40 @@
     val membership: MembershipController,
     val routing: RoutingController,
     val admission: AdmissionController,
-    val readers: ReaderMemoryController,
-    val service: ServiceController,
+    val readers: ResponseBufferController,
+    val service: ServingController,
     val retries: RetryBudget = RetryBudget(),
 ) {
     private val dispatch = DispatchController(admission, routing)
-    private val relays = mutableMapOf<RequestId, AnswerRelay>()
-    private val sleepers = mutableMapOf<RequestId, CompletableDeferred<Dispatched>>()
+    private val relays = mutableMapOf<RequestId, ResponseRelay>()
+    private val sleepers = mutableMapOf<RequestId, CompletableDeferred<DispatchResult>>()
 
     /** Lets a request wait; the result is completed when it may go or is refused. */
-    fun enter(ticket: Ticket): CompletableDeferred<Dispatched> {
+    fun enqueue(ticket: Ticket): CompletableDeferred<DispatchResult> {
         val now = clock.elapsed()
-        val sleeper = CompletableDeferred<Dispatched>()
-        when (val decision = dispatch.enter(ticket.waiting, ticket.need, now)) {
-            is QueueDecision.Refused -> sleeper.complete(Dispatched.Refused(ticket.waiting.id, decision.refusal))
+        val sleeper = CompletableDeferred<DispatchResult>()
+        when (val decision = dispatch.enqueue(ticket.waiting, ticket.need, now)) {
+            is QueueDecision.Refused -> sleeper.complete(DispatchResult.Refused(ticket.waiting.id, decision.refusal))
             QueueDecision.Queued -> {
                 sleepers[ticket.waiting.id] = sleeper
-                pump()
+                dispatchWaiting()
             }
         }
         return sleeper
     }
 
     /** Lets a request that did not get its answer wait again. */
-    fun reenter(ticket: Ticket): CompletableDeferred<Dispatched> {
-        val sleeper = CompletableDeferred<Dispatched>()
+    fun requeue(ticket: Ticket): CompletableDeferred<DispatchResult> {
+        val sleeper = CompletableDeferred<DispatchResult>()
         sleepers[ticket.waiting.id] = sleeper
-        dispatch.reenter(ticket.waiting, ticket.need, clock.elapsed())
-        pump()
+        dispatch.requeue(ticket.waiting, ticket.need, clock.elapsed())
+        dispatchWaiting()
         return sleeper
     }
 
-    fun leave(ticket: Ticket) {
+    fun withdraw(ticket: Ticket) {
         sleepers.remove(ticket.waiting.id)
-        dispatch.leave(ticket.waiting)
+        dispatch.withdraw(ticket.waiting)
     }
 
     fun ended(
@@ -81,51 +81,51 @@
         heldBack: Duration = Duration.ZERO,
     ) {
         dispatch.ended(ticket.waiting, target, failed, heldBack, clock.elapsed())
-        pump()
+        dispatchWaiting()
     }
 
-    fun turnedAway(
+    fun onRejected(
         target: TargetId,
-        room: Room?,
+        load: TargetLoad?,
     ) {
-        routing.turnedAway(target)
-        room?.let { routing.roomSeen(target, it, clock.elapsed()) }
-        pump()
+        routing.onRejected(target)
+        load?.let { routing.onLoadUpdate(target, it, clock.elapsed()) }
+        dispatchWaiting()
     }
 
     /** An answer carried back what room its target has. */
-    fun roomSeen(
+    fun onLoadUpdate(
         target: TargetId,
-        room: Room,
-    ) = routing.roomSeen(target, room, clock.elapsed())
+        load: TargetLoad,
+    ) = routing.onLoadUpdate(target, load, clock.elapsed())
 
-    fun reported(report: TargetReport) {
-        routing.reported(report, clock.elapsed())
-        pump()
+    fun onTargetReport(report: TargetReport) {
+        routing.onTargetReport(report, clock.elapsed())
+        dispatchWaiting()
     }
 
-    fun unlinked(target: TargetId) {
-        routing.unlinked(target)
-        pump()
+    fun onDisconnected(target: TargetId) {
+        routing.onDisconnected(target)
+        dispatchWaiting()
     }
 
     /** A new set is in force, or the list of instances changed. */
     fun configured() {
         val entries = membership.instances().count { it.role == DaemonRole.ENTRY && it.domain == domain && !it.leaving }
         routing.configure(configuration.current.objects, entries)
-        pump()
+        dispatchWaiting()
     }
 
-    fun pump() {
-        for (dispatched in dispatch.pump(clock.elapsed())) sleepers.remove(dispatched.request)?.complete(dispatched)
+    fun dispatchWaiting() {
+        for (dispatched in dispatch.dispatchWaiting(clock.elapsed())) sleepers.remove(dispatched.request)?.complete(dispatched)
     }
 
     /** Opens the memory of an answer; false when the budget has no room for it. */
     fun open(
         request: RequestId,
-        relay: AnswerRelay,
+        relay: ResponseRelay,
     ): Boolean {
-        val opened = readers.open(request, AnswerRelay.BASE_BYTES, clock.elapsed()) is HoldDecision.Hold
+        val opened = readers.open(request, ResponseRelay.BASE_BYTES, clock.elapsed()) is BufferDecision.Granted
         if (opened) relays[request] = relay
         return opened
     }
@@ -139,14 +139,14 @@
     fun wasPaused(limit: Duration): Boolean {
         val now = clock.elapsed()
         val paused = service.tick(now)
-        if (paused) configuration.suspectStale(now, limit)
+        if (paused) configuration.requireConfirmation(now, limit)
         return paused
     }
 
     /** Time has passed: late requests are refused and a stalled answer may have to give up its back end. */
     fun tick() {
-        pump()
-        val victim = readers.victim(admission.waitingLines().isNotEmpty(), clock.elapsed()) ?: return
+        dispatchWaiting()
+        val victim = readers.victim(admission.nonEmptyQueues().isNotEmpty(), clock.elapsed()) ?: return
         readers.park(victim)
         relays[victim]?.park?.complete(Unit)
     }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/GuardRepeatsFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdempotencyKeyFilter.kt
@@ -11,18 +11,18 @@
 import lagoonrudder.traffic.Filter
 import lagoonrudder.traffic.Next
 
-class GuardRepeatsFilter : Filter<EntryCall> {
+class IdempotencyKeyFilter : Filter<EntryCall> {
     override suspend fun handle(
         call: EntryCall,
         next: Next<EntryCall>,
     ): Outcome {
-        val identity = call.identity
-        if (identity.route.idempotent) return next.proceed(call)
-        val key = identity.key?.text.orEmpty()
+        val context = call.context
+        if (context.route.idempotent) return next.proceed(call)
+        val key = context.key?.text.orEmpty()
         val wellFormed = key.isNotBlank() && key.length <= LONGEST_KEY
         if (wellFormed) return next.proceed(call)
         val refusal = Refusal.Invalid("header Idempotency-Key of 1 to $LONGEST_KEY characters")
-        return Outcome.Refused(refusal, Step.GUARD_REPEATS, Peer(PeerRole.CALLER, identity.customer.id.text))
+        return Outcome.Refused(refusal, Step.GUARD_REPEATS, Peer(PeerRole.CALLER, context.customer.id.text))
     }
 
     private companion object {
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdentifyFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/IdentifyFilter.kt
@@ -8,7 +8,7 @@
 import arrow.core.left
 import arrow.core.raise.either
 import arrow.core.right
-import lagoonrudder.control.ServiceState
+import lagoonrudder.control.ServingState
 import lagoonrudder.control.refusal
 import lagoonrudder.model.Clock
 import lagoonrudder.model.FleetKind
@@ -17,7 +17,7 @@
 import lagoonrudder.model.Peer
 import lagoonrudder.model.Refusal
 import lagoonrudder.model.RequestId
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Step
 import lagoonrudder.traffic.Filter
 import lagoonrudder.traffic.Next
@@ -39,36 +39,36 @@
         next: Next<EntryCall>,
     ): Outcome {
         val set = control.thread.decide { openSet() }
-        val identity = set.flatMap { identify(call, it) }
-        return identity.fold(
+        val context = set.flatMap { identify(call, it) }
+        return context.fold(
             { Outcome.Refused(it, Step.IDENTIFY, Peer.SELF) },
             {
-                call.identity = it
+                call.context = it
                 next.proceed(call)
             },
         )
     }
 
-    private fun openSet(): Either<Refusal, SealedSet> {
+    private fun openSet(): Either<Refusal, ObjectSnapshot> {
         val set = control.configuration.current
         val now = clock.elapsed()
         val confirmed = control.configuration.mayServe(now) && !control.service.wasPaused(now)
         return when (val state = control.service.state(set.objects, confirmed)) {
-            ServiceState.Serving -> set.right()
-            is ServiceState.Closed -> state.refusal().left()
+            ServingState.Serving -> set.right()
+            is ServingState.Unavailable -> state.refusal().left()
         }
     }
 
     private fun identify(
         call: EntryCall,
-        set: SealedSet,
-    ): Either<Refusal, Identity> =
+        set: ObjectSnapshot,
+    ): Either<Refusal, RequestContext> =
         either {
             val route = set.objects.routeFor(call.caller.path) ?: raise(Refusal.UnknownRoute)
             val customer = set.objects.customersByToken[call.caller.token] ?: raise(Refusal.UnknownCustomer)
             val fleet = set.objects.fleets[route.fleet] ?: raise(Refusal.UnknownRoute)
             val work = workOf(call.caller, fleet).bind()
-            Identity(
+            RequestContext(
                 request = newRequest(),
                 route = route,
                 fleet = fleet,
@@ -76,7 +76,7 @@
                 revision = set.revision,
                 work = work,
                 key = call.caller.key,
-                deadline = call.arrived + route.deadline,
+                deadline = call.receivedAt + route.deadline,
                 tokens = tokensOf(work),
                 bytes = call.caller.body.size + answerBytes(work),
             )
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/RelayFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/RelayFilter.kt
@@ -20,8 +20,8 @@
 import lagoonrudder.traffic.Next
 import kotlin.time.Duration.Companion.seconds
 
-/** The caller closed its connection or it broke; thrown by an [AnswerSink]. */
-class CallerGone(
+/** The caller closed its connection or it broke; thrown by an [ResponseSink]. */
+class CallerDisconnected(
     cause: Throwable?,
 ) : Exception("the caller has gone", cause)
 
@@ -34,12 +34,12 @@
         call: EntryCall,
         next: Next<EntryCall>,
     ): Outcome {
-        val request = call.identity.request
-        call.relay = AnswerRelay(request, control, clock)
+        val request = call.context.request
+        call.relay = ResponseRelay(request, control, clock)
         if (!control.thread.decide { control.open(request, call.relay) }) return refuse(call)
         try {
             return relay(call, next)
-        } catch (gone: CallerGone) {
+        } catch (gone: CallerDisconnected) {
             return Outcome.Broken(Failure.Interrupted(Step.RELAY, callerOf(call), gone.message.orEmpty()))
         } finally {
             withContext(NonCancellable) { control.thread.decide { control.close(request) } }
@@ -66,7 +66,7 @@
         when (outcome) {
             is Outcome.Completed -> {
                 val whole = outcome.length == call.relay.offset && call.relay.started
-                invariants.check(whole, Invariant.WHOLE_OWN_ANSWER, Step.RELAY, callerOf(call)) { "request=${call.identity.request.text}" }
+                invariants.check(whole, Invariant.WHOLE_OWN_ANSWER, Step.RELAY, callerOf(call)) { "request=${call.context.request.text}" }
                 call.sink.finish(outcome.length, call.relay.checksum)
             }
             is Outcome.Broken -> call.sink.abort(outcome.failure)
@@ -79,7 +79,7 @@
         return Outcome.Refused(Refusal.Overloaded(RETRY), Step.RELAY, Peer.SELF)
     }
 
-    private fun callerOf(call: EntryCall) = Peer(PeerRole.CALLER, call.identity.customer.id.text)
+    private fun callerOf(call: EntryCall) = Peer(PeerRole.CALLER, call.context.customer.id.text)
 
     private companion object {
         val RETRY = 1.seconds
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AnswerRelay.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/ResponseRelay.kt
@@ -11,22 +11,22 @@
 import kotlinx.coroutines.channels.Channel
 import kotlinx.coroutines.selects.onTimeout
 import kotlinx.coroutines.selects.select
-import lagoonrudder.control.HoldDecision
+import lagoonrudder.control.BufferDecision
 import lagoonrudder.model.Clock
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.VersionId
-import lagoonrudder.traffic.AnswerCheck
+import lagoonrudder.traffic.ResponseVerifier
 import lagoonrudder.traffic.RunEvent
 import java.util.concurrent.atomic.AtomicLong
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-class AnswerRelay(
+class ResponseRelay(
     private val request: RequestId,
     private val control: EntryControl,
     private val clock: Clock,
 ) {
-    private val whole = AnswerCheck(0)
+    private val whole = ResponseVerifier(0)
     private val buffered = Channel<ByteArray>(Channel.UNLIMITED)
     private val readSignal = Channel<Unit>(Channel.CONFLATED)
     private val held = AtomicLong()
@@ -57,7 +57,7 @@
 
     suspend fun start(
         head: RunEvent.Head,
-        sink: AnswerSink,
+        sink: ResponseSink,
     ) {
         started = true
         version = head.version
@@ -89,7 +89,7 @@
     }
 
     /** Writes to the caller until [complete]. */
-    suspend fun drain(sink: AnswerSink) {
+    suspend fun drain(sink: ResponseSink) {
         for (data in buffered) {
             sink.write(data)
             held.addAndGet(-data.size.toLong())
@@ -101,22 +101,22 @@
     /** Suspends until the caller has read everything that is held. */
     suspend fun awaitRead() {
         while (held.get() > 0) readSignal.receive()
-        control.thread.decide { control.readers.resumed(request, clock.elapsed()) }
+        control.thread.decide { control.readers.onResumed(request, clock.elapsed()) }
         park = CompletableDeferred()
     }
 
     private suspend fun awaitRoom(bytes: Long) {
         while (held.get() > 0 && held.get() + bytes > granted) {
             when (control.thread.decide { holdMore() }) {
-                HoldDecision.Hold -> Unit
-                HoldDecision.Wait -> awaitReadOrTime()
+                BufferDecision.Granted -> Unit
+                BufferDecision.Wait -> awaitReadOrTime()
             }
         }
     }
 
-    private fun holdMore(): HoldDecision {
-        val decision = control.readers.hold(request, STEP_BYTES)
-        if (decision is HoldDecision.Hold) granted += STEP_BYTES
+    private fun holdMore(): BufferDecision {
+        val decision = control.readers.reserve(request, STEP_BYTES)
+        if (decision is BufferDecision.Granted) granted += STEP_BYTES
         return decision
     }
 
@@ -131,7 +131,7 @@
     private suspend fun giveBack() {
         if (granted <= BASE_BYTES || held.get() > BASE_BYTES / 2) return
         control.thread.decide {
-            control.readers.read(request, granted - BASE_BYTES, clock.elapsed())
+            control.readers.onRead(request, granted - BASE_BYTES, clock.elapsed())
             granted = BASE_BYTES
         }
     }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/SendFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/SendFilter.kt
@@ -20,10 +20,10 @@
 import kotlinx.coroutines.flow.mapNotNull
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withContext
-import lagoonrudder.control.Dispatched
-import lagoonrudder.control.RecordedAnswer
-import lagoonrudder.control.RepeatDecision
-import lagoonrudder.control.Room
+import lagoonrudder.control.DispatchResult
+import lagoonrudder.control.RecordedResponse
+import lagoonrudder.control.IdempotencyDecision
+import lagoonrudder.control.TargetLoad
 import lagoonrudder.model.Clock
 import lagoonrudder.model.Failure
 import lagoonrudder.model.Instance
@@ -31,11 +31,11 @@
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.digestOf
-import lagoonrudder.traffic.AnswerCheck
+import lagoonrudder.traffic.ResponseVerifier
 import lagoonrudder.traffic.Filter
 import lagoonrudder.traffic.Next
 import lagoonrudder.traffic.ProgressLimits
@@ -43,7 +43,7 @@
 import lagoonrudder.traffic.RunEvent
 import lagoonrudder.traffic.RunPermit
 import lagoonrudder.traffic.RunRequest
-import lagoonrudder.traffic.TargetLink
+import lagoonrudder.traffic.TargetClient
 import lagoonrudder.traffic.Work
 import lagoonrudder.traffic.checksumOf
 import lagoonrudder.traffic.withProgressLimits
@@ -65,7 +65,7 @@
 
 class SendFilter(
     private val control: EntryControl,
-    private val link: TargetLink,
+    private val link: TargetClient,
     private val clock: Clock,
     private val limits: SendLimits,
 ) : Filter<EntryCall> {
@@ -79,14 +79,14 @@
 private sealed class AttemptResult {
     data class Ended(
         val outcome: Outcome,
-        val room: Room? = null,
+        val load: TargetLoad? = null,
     ) : AttemptResult()
 
     /** The target proved that it did not run. */
     data class TurnedAway(
         val refusal: Refusal,
         val peer: Peer,
-        val room: Room?,
+        val load: TargetLoad?,
     ) : AttemptResult()
 
     /** The target did not get the request, or the request may be repeated. */
@@ -100,11 +100,11 @@
 private class Sending(
     private val call: EntryCall,
     private val control: EntryControl,
-    private val link: TargetLink,
+    private val link: TargetClient,
     private val clock: Clock,
     private val limits: SendLimits,
 ) {
-    private val identity = call.identity
+    private val context = call.context
     private val relay = call.relay
     private var ticket = call.ticket
     private var target = call.choice.target
@@ -112,7 +112,7 @@
     private var mayHaveRun: Failure? = null
 
     suspend fun run(): Outcome {
-        control.thread.decide { control.retries.attempted() }
+        control.thread.decide { control.retries.onFirstAttempt() }
         while (true) {
             attempt++
             val ended =
@@ -139,10 +139,10 @@
 
     private fun account(result: AttemptResult?) {
         when (result) {
-            is AttemptResult.TurnedAway -> control.turnedAway(target, result.room)
+            is AttemptResult.TurnedAway -> control.onRejected(target, result.load)
             is AttemptResult.Lost -> control.ended(ticket, target, failed = true)
             is AttemptResult.Ended -> {
-                result.room?.let { control.roomSeen(target, it) }
+                result.load?.let { control.onLoadUpdate(target, it) }
                 control.ended(ticket, target, failed = result.outcome is Outcome.Unknown, heldBack = relay.heldBack)
             }
             AttemptResult.Parked, null -> control.ended(ticket, target, failed = false)
@@ -159,7 +159,7 @@
 
     private suspend fun afterLoss(failure: Failure): Outcome? {
         if (failure !is Failure.Unreachable && !isReservation(failure)) mayHaveRun = failure
-        if (relay.started && identity.work is Work.Plain) return Outcome.Broken(failure)
+        if (relay.started && context.work is Work.Plain) return Outcome.Broken(failure)
         val again = attempt < limits.attempts && control.thread.decide { control.retries.spend() }
         if (!again) return endWithout(Refusal.NoTarget(RETRY), failure.peer)
         exclude(target)
@@ -180,7 +180,7 @@
         val uncertain = mayHaveRun
         return when {
             relay.started -> Outcome.Broken(uncertain ?: Failure.Declined(Step.SEND, peer, refusal.code))
-            uncertain != null && identity.work is Work.Plain -> Outcome.Unknown(uncertain)
+            uncertain != null && context.work is Work.Plain -> Outcome.Unknown(uncertain)
             else -> Outcome.Refused(refusal, Step.SEND, peer)
         }
     }
@@ -188,10 +188,10 @@
     /** Waits for another target; an outcome means that there is none. */
     private suspend fun awaitTarget(): Outcome? {
         if (relay.started) ticket = ticket.copy(waiting = ticket.waiting.copy(deadline = clock.elapsed() + limits.resume))
-        val turn = awaitTurn(control, ticket) { reenter(it) }
+        val turn = awaitTurn(control, ticket) { requeue(it) }
         return when (turn) {
-            is Dispatched.Refused -> endWithout(turn.refusal, Peer.SELF)
-            is Dispatched.Go -> {
+            is DispatchResult.Refused -> endWithout(turn.refusal, Peer.SELF)
+            is DispatchResult.Sent -> {
                 target = turn.target
                 null
             }
@@ -205,14 +205,14 @@
 
     private suspend fun attempt(): AttemptResult {
         val instance = control.thread.decide { control.membership.daemonOf(target) } ?: return AttemptResult.Lost(unlisted())
-        val once = !identity.route.idempotent
+        val once = !context.route.idempotent
         return if (once) attemptOnce(instance) else attemptRun(instance, null)
     }
 
     private suspend fun attemptOnce(instance: Instance): AttemptResult {
-        val key = identity.key ?: return AttemptResult.Lost(unlisted())
+        val key = context.key ?: return AttemptResult.Lost(unlisted())
         val body = digestOf(call.caller.body)
-        val reserve = ReserveRequest(identity.request, identity.fleet.id, key, body, identity.revision)
+        val reserve = ReserveRequest(context.request, context.fleet.id, key, body, context.revision)
         val reserved = link.reserve(instance, reserve, limits.reserve)
         return when (reserved) {
             is Either.Left -> lostReservation(instance, reserved.value)
@@ -230,27 +230,27 @@
 
     private suspend fun afterReservation(
         instance: Instance,
-        decision: RepeatDecision,
-        key: RepeatKey,
+        decision: IdempotencyDecision,
+        key: IdempotencyKey,
     ): AttemptResult {
         val peer = peerOf(instance)
         return when (decision) {
-            is RepeatDecision.Permitted -> attemptRun(instance, RunPermit(key, decision.permit))
-            is RepeatDecision.Refused -> AttemptResult.TurnedAway(decision.refusal, peer, null)
-            is RepeatDecision.Uncertain -> unknown(Failure.Declined(Step.GUARD_REPEATS, peer, decision.detail))
-            is RepeatDecision.AskOwners -> unknown(Failure.Damaged(Step.GUARD_REPEATS, peer, "an answer that is not for entry daemons"))
-            is RepeatDecision.RanBefore -> repeatAnswer(decision.answer, peer)
+            is IdempotencyDecision.Permitted -> attemptRun(instance, RunPermit(key, decision.permit))
+            is IdempotencyDecision.Refused -> AttemptResult.TurnedAway(decision.refusal, peer, null)
+            is IdempotencyDecision.Uncertain -> unknown(Failure.Declined(Step.GUARD_REPEATS, peer, decision.detail))
+            is IdempotencyDecision.QueryPreviousOwners -> unknown(Failure.Damaged(Step.GUARD_REPEATS, peer, "an answer that is not for entry daemons"))
+            is IdempotencyDecision.AlreadyRan -> repeatAnswer(decision.response, peer)
         }
     }
 
     private suspend fun repeatAnswer(
-        answer: RecordedAnswer?,
+        response: RecordedResponse?,
         peer: Peer,
     ): AttemptResult {
-        if (answer == null) return unknown(Failure.Declined(Step.GUARD_REPEATS, peer, "it ran before and its answer is no longer held"))
-        relay.start(RunEvent.Head(identity.request, attempt, null, answer.status, answer.contentType), call.sink)
-        relay.take(RunEvent.Bytes(0, answer.body, checksumOf(answer.body)))
-        return AttemptResult.Ended(Outcome.Completed(answer.body.size.toLong(), null))
+        if (response == null) return unknown(Failure.Declined(Step.GUARD_REPEATS, peer, "it ran before and its answer is no longer held"))
+        relay.start(RunEvent.Head(context.request, attempt, null, response.status, response.contentType), call.sink)
+        relay.take(RunEvent.Bytes(0, response.body, checksumOf(response.body)))
+        return AttemptResult.Ended(Outcome.Completed(response.body.size.toLong(), null))
     }
 
     private fun unknown(failure: Failure) = AttemptResult.Ended(Outcome.Unknown(failure))
@@ -276,7 +276,7 @@
         permit: RunPermit?,
         running: Deferred<AttemptResult>,
     ) {
-        val resumable = permit == null && identity.work is Work.Generate
+        val resumable = permit == null && context.work is Work.Generate
         if (!resumable) return
         relay.park.await()
         running.cancel()
@@ -287,7 +287,7 @@
         permit: RunPermit?,
     ): AttemptResult {
         val peer = peerOf(instance)
-        val check = AnswerCheck(relay.offset)
+        val check = ResponseVerifier(relay.offset)
         var known = false
         val events = link.run(instance, requestFor(permit)).withProgressLimits(progressLimits(), Step.RUN, peer)
         val result =
@@ -314,14 +314,14 @@
     /** Takes in one event; a result means that the attempt is over. */
     private suspend fun takeIn(
         event: RunEvent,
-        check: AnswerCheck,
+        check: ResponseVerifier,
         known: Boolean,
         permit: RunPermit?,
         peer: Peer,
     ): AttemptResult? {
         if (!known && event !is RunEvent.NotRun) return damaged(permit, peer, "an answer without a head")
         return when (event) {
-            is RunEvent.NotRun -> AttemptResult.TurnedAway(event.refusal, peer, event.room)
+            is RunEvent.NotRun -> AttemptResult.TurnedAway(event.refusal, peer, event.load)
             is RunEvent.Head -> takeHead(event, permit, peer)
             is RunEvent.Bytes -> takeBytes(event, check, permit, peer)
             is RunEvent.End -> takeEnd(event, check, permit, peer)
@@ -333,17 +333,17 @@
         permit: RunPermit?,
         peer: Peer,
     ): AttemptResult? {
-        val own = head.request == identity.request && head.attempt == attempt
+        val own = head.request == context.request && head.attempt == attempt
         if (!own) return damaged(permit, peer, "an answer to another request")
         if (relay.started && head.version != relay.version) return damaged(permit, peer, "an answer of another version")
-        if (!identity.fleet.accepts(head.version)) return damaged(permit, peer, "an answer of a version that was not asked for")
+        if (!context.fleet.accepts(head.version)) return damaged(permit, peer, "an answer of a version that was not asked for")
         if (!relay.started) relay.start(head, call.sink)
         return null
     }
 
     private suspend fun takeBytes(
         bytes: RunEvent.Bytes,
-        check: AnswerCheck,
+        check: ResponseVerifier,
         permit: RunPermit?,
         peer: Peer,
     ): AttemptResult? {
@@ -358,12 +358,12 @@
 
     private fun takeEnd(
         end: RunEvent.End,
-        check: AnswerCheck,
+        check: ResponseVerifier,
         permit: RunPermit?,
         peer: Peer,
     ): AttemptResult {
         if (!check.endsWith(end.length, end.checksum)) return wrongEnd(peer)
-        return AttemptResult.Ended(Outcome.Completed(end.length, relay.version), end.room)
+        return AttemptResult.Ended(Outcome.Completed(end.length, relay.version), end.load)
     }
 
     /** What was handed on can't be taken back: the answer ends broken, it is not resumed. */
@@ -398,29 +398,29 @@
 
     private fun requestFor(permit: RunPermit?) =
         RunRequest(
-            request = identity.request,
+            request = context.request,
             attempt = attempt,
-            customer = identity.customer.id,
-            fleet = identity.fleet.id,
-            revision = identity.revision,
-            versions = relay.version?.let { listOf(it) } ?: listOfNotNull(identity.fleet.version, identity.fleet.replaces),
+            customer = context.customer.id,
+            fleet = context.fleet.id,
+            revision = context.revision,
+            versions = relay.version?.let { listOf(it) } ?: listOfNotNull(context.fleet.version, context.fleet.replaces),
             offset = relay.offset,
             timeLeft = timeLeft(),
-            tokens = identity.tokens,
-            priority = identity.route.priority,
+            tokens = context.tokens,
+            priority = context.route.priority,
             permit = permit,
-            work = identity.work,
+            work = context.work,
         )
 
     private fun progressLimits(): ProgressLimits =
-        when (identity.work) {
+        when (context.work) {
             is Work.Generate -> ProgressLimits(minOf(limits.firstEvent, timeLeft()), limits.nextEvent)
             is Work.Plain -> ProgressLimits(timeLeft(), limits.nextEvent)
         }
 
     /** What is left of the deadline; an answer that has begun is bounded by its progress alone. */
     private fun timeLeft(): Duration {
-        val left = identity.deadline - clock.elapsed()
+        val left = context.deadline - clock.elapsed()
         return if (relay.started) maxOf(left, limits.firstEvent) else left.coerceAtLeast(SHORTEST_TIME)
     }
 
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/AdmissionFilters.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/AdmissionFilters.kt
@@ -57,7 +57,7 @@
     ): Outcome {
         val refusal =
             control.thread.decide {
-                call.version = control.switch.serving()
+                call.version = control.switch.servingVersion()
                 control.switch.refusal() ?: wrongVersion(call)
             }
         return if (refusal == null) next.proceed(call) else refused(refusal, Step.VERIFY_VERSION)
@@ -86,7 +86,7 @@
         try {
             return next.proceed(call)
         } finally {
-            withContext(NonCancellable) { control.thread.decide { control.finished(request, call.result) } }
+            withContext(NonCancellable) { control.thread.decide { control.onRequestFinished(request, call.result) } }
         }
     }
 
@@ -103,7 +103,7 @@
             withContext(NonCancellable) { control.thread.decide { abandon(request, turn) } }
             throw gone
         }
-        return if (turn.isCompleted) turn.await() else control.thread.decide { control.giveUp(request) }
+        return if (turn.isCompleted) turn.await() else control.thread.decide { control.abandonAdmission(request) }
     }
 
     @OptIn(ExperimentalCoroutinesApi::class)
@@ -112,11 +112,11 @@
         turn: Deferred<Refusal?>,
     ) {
         if (!turn.isCompleted) {
-            control.giveUp(request)
+            control.abandonAdmission(request)
             return
         }
         val admitted = turn.getCompleted() == null
-        if (admitted) control.finished(request, EngineResult.Cancelled)
+        if (admitted) control.onRequestFinished(request, EngineResult.Cancelled)
     }
 
     private companion object {
@@ -134,7 +134,7 @@
         next: Next<TargetCall>,
     ): Outcome {
         val permit = call.run.permit ?: return next.proceed(call)
-        val decision = control.thread.decide { control.repeats.begin(permit.key, permit.number, clock.elapsed()) }
+        val decision = control.thread.decide { control.repeats.beginRun(permit.key, permit.number, clock.elapsed()) }
         return when (decision) {
             RunDecision.Run -> next.proceed(call)
             is RunDecision.Refused -> refused(decision.refusal, Step.GUARD_REPEATS)
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/Reservations.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/KeyReservations.kt
@@ -8,29 +8,29 @@
 
 import kotlinx.coroutines.flow.first
 import kotlinx.coroutines.withTimeoutOrNull
-import lagoonrudder.control.RepeatDecision
-import lagoonrudder.control.Surrender
+import lagoonrudder.control.IdempotencyDecision
+import lagoonrudder.control.SurrenderResult
 import lagoonrudder.model.Clock
 import lagoonrudder.model.TargetId
 import lagoonrudder.traffic.ReserveRequest
 import lagoonrudder.traffic.SurrenderRequest
-import lagoonrudder.traffic.TargetLink
+import lagoonrudder.traffic.TargetClient
 import kotlin.time.Duration.Companion.milliseconds
 
-class Reservations(
+class KeyReservations(
     private val control: TargetControl,
-    private val link: TargetLink,
+    private val link: TargetClient,
     private val clock: Clock,
 ) {
-    suspend fun reserve(request: ReserveRequest): RepeatDecision {
+    suspend fun reserve(request: ReserveRequest): IdempotencyDecision {
         awaitRevision(request.revision.number)
         val decision = control.thread.decide { decide(request, emptySet()) }
-        if (decision !is RepeatDecision.AskOwners) return decision
+        if (decision !is IdempotencyDecision.QueryPreviousOwners) return decision
         for (owner in decision.owners) askOwner(owner, request)?.let { return it }
         return control.thread.decide { decide(request, decision.owners.toSet()) }
     }
 
-    suspend fun surrender(request: SurrenderRequest): Surrender {
+    suspend fun surrender(request: SurrenderRequest): SurrenderResult {
         awaitRevision(request.revision.number)
         return control.thread.decide { control.repeats.surrender(request.key, clock.elapsed(), clock.now()) }
     }
@@ -38,9 +38,9 @@
     private fun decide(
         request: ReserveRequest,
         cleared: Set<TargetId>,
-    ): RepeatDecision {
+    ): IdempotencyDecision {
         val closed = control.closed() ?: control.switch.refusal()
-        if (closed != null) return RepeatDecision.Refused(closed)
+        if (closed != null) return IdempotencyDecision.Refused(closed)
         return control.repeats.reserve(request.key, request.body, clock.elapsed(), clock.now(), cleared)
     }
 
@@ -48,15 +48,15 @@
     private suspend fun askOwner(
         owner: TargetId,
         request: ReserveRequest,
-    ): RepeatDecision? {
+    ): IdempotencyDecision? {
         val instance = control.thread.decide { control.membership.daemonOf(owner) }
         val revision = control.thread.decide { control.configuration.current.revision }
-        val answer = instance?.let { link.surrender(it, SurrenderRequest(request.key, revision), ASK_LIMIT).getOrNull() }
-        return when (answer) {
-            null -> RepeatDecision.Uncertain("the earlier owner ${owner.text} of the key can't be asked")
-            Surrender.Unseen -> null
-            is Surrender.RanBefore -> RepeatDecision.RanBefore(answer.answer)
-            is Surrender.Uncertain -> RepeatDecision.Uncertain(answer.detail)
+        val response = instance?.let { link.surrender(it, SurrenderRequest(request.key, revision), ASK_LIMIT).getOrNull() }
+        return when (response) {
+            null -> IdempotencyDecision.Uncertain("the earlier owner ${owner.text} of the key can't be asked")
+            SurrenderResult.Released -> null
+            is SurrenderResult.AlreadyRan -> IdempotencyDecision.AlreadyRan(response.response)
+            is SurrenderResult.Uncertain -> IdempotencyDecision.Uncertain(response.detail)
         }
     }
 
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/RunFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/RunFilter.kt
@@ -13,7 +13,7 @@
 import kotlinx.coroutines.flow.mapNotNull
 import kotlinx.coroutines.withContext
 import lagoonrudder.control.EngineResult
-import lagoonrudder.control.RecordedAnswer
+import lagoonrudder.control.RecordedResponse
 import lagoonrudder.model.Clock
 import lagoonrudder.model.Failure
 import lagoonrudder.model.Invariant
@@ -23,7 +23,7 @@
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Refusal
 import lagoonrudder.model.Step
-import lagoonrudder.traffic.AnswerCheck
+import lagoonrudder.traffic.ResponseVerifier
 import lagoonrudder.traffic.Filter
 import lagoonrudder.traffic.Next
 import lagoonrudder.traffic.ProgressLimits
@@ -44,7 +44,7 @@
 
 class RunFilter(
     private val control: TargetControl,
-    private val backEnd: BackEnd,
+    private val backEnd: LocalBackEnd,
     private val clock: Clock,
     private val invariants: Invariants,
     private val limits: EngineLimits,
@@ -62,7 +62,7 @@
         private val call: TargetCall,
         private val work: Work.Generate,
     ) {
-        private val check = AnswerCheck(call.run.offset)
+        private val check = ResponseVerifier(call.run.offset)
         private var started = false
 
         suspend fun run(): Outcome {
@@ -85,7 +85,7 @@
             }
 
         private suspend fun start(event: EngineEvent.Started): Outcome? {
-            control.thread.decide { control.limits.observe(event.incarnation) }
+            control.thread.decide { control.limits.onEngineIncarnation(event.incarnation) }
             if (event.version != call.version) return mixed("the engine started with version ${event.version.text}")
             started = true
             call.emit(RunEvent.Head(call.run.request, call.run.attempt, event.version, OK, "text/plain"))
@@ -109,7 +109,7 @@
 
         private suspend fun mixed(detail: String): Outcome {
             control.thread.decide {
-                control.switch.engineLost()
+                control.switch.onEngineLost()
                 control.publish()
             }
             return failed(damaged(detail))
@@ -118,8 +118,8 @@
         private fun damaged(detail: String) = Failure.Damaged(Step.RUN, PEER, detail)
 
         private suspend fun failed(failure: Failure): Outcome {
-            call.result = EngineResult.Trouble
-            if (failure is Failure.Unreachable || failure is Failure.Interrupted) control.thread.decide { control.switch.engineLost() }
+            call.result = EngineResult.Failed
+            if (failure is Failure.Unreachable || failure is Failure.Interrupted) control.thread.decide { control.switch.onEngineLost() }
             val declined = failure is Failure.Declined || failure is Failure.Unreachable
             if (declined && !started) return Outcome.Refused(Refusal.Overloaded(RETRY), Step.RUN, PEER)
             return Outcome.Broken(failure)
@@ -132,7 +132,7 @@
     ): Outcome {
         val permit = call.run.permit
         val answer = if (permit == null) callOnce(call, work) else withContext(NonCancellable) { callGuarded(call, work, permit) }
-        call.result = answer.fold({ EngineResult.Trouble }, { EngineResult.Answered(Duration.ZERO) })
+        call.result = answer.fold({ EngineResult.Failed }, { EngineResult.Answered(Duration.ZERO) })
         return when (answer) {
             is Either.Right -> emitAnswer(call, answer.value)
             is Either.Left -> plainFailure(answer.value)
@@ -142,13 +142,13 @@
     private suspend fun callOnce(
         call: TargetCall,
         work: Work.Plain,
-    ): Either<Failure, RecordedAnswer> = backEnd.call(work, call.run.request, call.run.timeLeft.coerceIn(SHORTEST, LONGEST))
+    ): Either<Failure, RecordedResponse> = backEnd.call(work, call.run.request, call.run.timeLeft.coerceIn(SHORTEST, LONGEST))
 
     private suspend fun callGuarded(
         call: TargetCall,
         work: Work.Plain,
         permit: RunPermit,
-    ): Either<Failure, RecordedAnswer> {
+    ): Either<Failure, RecordedResponse> {
         val answer = callOnce(call, work)
         control.thread.decide { record(permit, answer) }
         return answer
@@ -156,12 +156,12 @@
 
     private fun record(
         permit: RunPermit,
-        answer: Either<Failure, RecordedAnswer>,
+        answer: Either<Failure, RecordedResponse>,
     ) {
         val now = clock.elapsed()
         answer.fold(
-            { if (provesNotRun(it)) control.repeats.notRun(permit.key) else control.repeats.lost(permit.key, now) },
-            { control.repeats.ended(permit.key, it, now) },
+            { if (provesNotRun(it)) control.repeats.onNotRun(permit.key) else control.repeats.onRunLost(permit.key, now) },
+            { control.repeats.onRunEnded(permit.key, it, now) },
         )
     }
 
@@ -169,9 +169,9 @@
 
     private suspend fun emitAnswer(
         call: TargetCall,
-        answer: RecordedAnswer,
+        answer: RecordedResponse,
     ): Outcome {
-        val check = AnswerCheck(0)
+        val check = ResponseVerifier(0)
         check.follow(0, answer.body)
         call.emit(RunEvent.Head(call.run.request, call.run.attempt, null, answer.status, answer.contentType))
         call.emit(RunEvent.Bytes(0, answer.body, checksumOf(answer.body)))
@@ -179,7 +179,7 @@
         return Outcome.Completed(check.length, null)
     }
 
-    private suspend fun roomNow() = control.thread.decide { control.limits.room() }
+    private suspend fun roomNow() = control.thread.decide { control.limits.load() }
 
     private fun plainFailure(failure: Failure): Outcome =
         if (provesNotRun(failure)) Outcome.Refused(Refusal.Overloaded(RETRY), Step.RUN, PEER) else Outcome.Unknown(failure)
@@ -196,7 +196,7 @@
 /** The filters of a target daemon in their order. */
 fun targetFilters(
     control: TargetControl,
-    backEnd: BackEnd,
+    backEnd: LocalBackEnd,
     clock: Clock,
     invariants: Invariants,
     limits: EngineLimits,
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/TargetCall.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/TargetCall.kt
@@ -9,7 +9,7 @@
 import lagoonrudder.control.EngineResult
 import lagoonrudder.control.EngineState
 import lagoonrudder.control.OrderResult
-import lagoonrudder.control.RecordedAnswer
+import lagoonrudder.control.RecordedResponse
 import lagoonrudder.model.ChunkIndex
 import lagoonrudder.model.Failure
 import lagoonrudder.model.IncarnationId
@@ -22,14 +22,14 @@
 
 class TargetCall(
     val run: RunRequest,
-    val arrived: Duration,
+    val receivedAt: Duration,
     val emit: suspend (RunEvent) -> Unit,
 ) {
     /** The version that the engine served when the attempt was let in; null for a plain service. */
     var version: VersionId? = null
 
     /** When the limits let the attempt in. */
-    var admitted: Duration = arrived
+    var admitted: Duration = receivedAt
 
     /** What the run showed of the back end, for the limits. */
     @Volatile
@@ -63,7 +63,7 @@
 )
 
 /** The back end beside a target daemon. Failures say whether anything may have reached it. */
-interface BackEnd {
+interface LocalBackEnd {
     fun generate(request: GenerateRequest): Flow<Either<Failure, EngineEvent>>
 
     /** Calls a plain service; [Failure.Declined] is its own proof that it did not run. */
@@ -71,7 +71,7 @@
         work: Work.Plain,
         request: RequestId,
         limit: Duration,
-    ): Either<Failure, RecordedAnswer>
+    ): Either<Failure, RecordedResponse>
 
     suspend fun state(limit: Duration): Either<Failure, EngineState>
 
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/TargetControl.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/TargetControl.kt
@@ -11,17 +11,17 @@
 import lagoonrudder.control.ControlThread
 import lagoonrudder.control.DumpSection
 import lagoonrudder.control.EngineResult
-import lagoonrudder.control.Holder
-import lagoonrudder.control.LimitController
+import lagoonrudder.control.WeightHolder
+import lagoonrudder.control.ConcurrencyLimitController
 import lagoonrudder.control.LimitDecision
 import lagoonrudder.control.MembershipController
-import lagoonrudder.control.RepeatController
-import lagoonrudder.control.ServiceController
-import lagoonrudder.control.ServiceState
-import lagoonrudder.control.SwitchController
+import lagoonrudder.control.IdempotencyController
+import lagoonrudder.control.ServingController
+import lagoonrudder.control.ServingState
+import lagoonrudder.control.VersionSwitchController
 import lagoonrudder.control.TargetCapacity
 import lagoonrudder.control.TargetReport
-import lagoonrudder.control.WeightController
+import lagoonrudder.control.WeightFetchController
 import lagoonrudder.control.keyOwners
 import lagoonrudder.control.refusal
 import lagoonrudder.model.Clock
@@ -47,11 +47,11 @@
     private val incarnation: IncarnationId,
     val configuration: ConfigurationController,
     val membership: MembershipController,
-    val limits: LimitController,
-    val repeats: RepeatController,
-    val switch: SwitchController,
-    val weights: WeightController,
-    val service: ServiceController,
+    val limits: ConcurrencyLimitController,
+    val repeats: IdempotencyController,
+    val switch: VersionSwitchController,
+    val weights: WeightFetchController,
+    val service: ServingController,
 ) {
     private class Turn(
         val version: VersionId?,
@@ -84,8 +84,8 @@
         val now = clock.elapsed()
         val confirmed = configuration.mayServe(now) && !service.wasPaused(now)
         return when (val state = service.state(configuration.current.objects, confirmed)) {
-            ServiceState.Serving -> null
-            is ServiceState.Closed -> state.refusal()
+            ServingState.Serving -> null
+            is ServingState.Unavailable -> state.refusal()
         }
     }
 
@@ -93,14 +93,14 @@
     fun wasPaused(limit: Duration): Boolean {
         val now = clock.elapsed()
         val paused = service.tick(now)
-        if (paused) configuration.suspectStale(now, limit)
+        if (paused) configuration.requireConfirmation(now, limit)
         return paused
     }
 
     /** Whether an attempt that wants [version] may come in now, apart from the limits. */
     fun refusal(version: VersionId?): Refusal? {
         closed()?.let { return it }
-        if (version != switch.serving()) return Refusal.NotServing(RETRY, "switching")
+        if (version != switch.servingVersion()) return Refusal.NotServing(RETRY, "switching")
         return switch.refusal()
     }
 
@@ -115,7 +115,7 @@
         if (refusal != null) return turn.also { it.complete(refusal) }
         when (val decision = limits.admit(request, tokens)) {
             LimitDecision.Admitted -> admitted(request, turn)
-            LimitDecision.Waits -> turns[request] = Turn(version, turn)
+            LimitDecision.Queued -> turns[request] = Turn(version, turn)
             is LimitDecision.Refused -> turn.complete(decision.refusal)
         }
         publish()
@@ -123,19 +123,19 @@
     }
 
     /** The request gives up waiting; null when it was admitted meanwhile. */
-    fun giveUp(request: RequestId): Refusal? {
+    fun abandonAdmission(request: RequestId): Refusal? {
         if (turns.remove(request) == null) return null
-        limits.leave(request)
+        limits.withdraw(request)
         publish()
         return Refusal.Overloaded(RETRY)
     }
 
-    fun finished(
+    fun onRequestFinished(
         request: RequestId,
         result: EngineResult,
     ) {
-        service.ended()
-        limits.finished(request, result, clock.elapsed())
+        service.onRequestEnded()
+        limits.onRequestFinished(request, result, clock.elapsed())
         admitWaiting()
         publish()
     }
@@ -143,13 +143,13 @@
     /** Gives free places to those that wait, and refuses them when the target closed meanwhile. */
     private fun admitWaiting() {
         while (true) {
-            val request = limits.nextAdmitted() ?: return
+            val request = limits.admitNext() ?: return
             val turn = turns.remove(request)
             val refusal = if (turn == null) Refusal.Overloaded(RETRY) else refusal(turn.version)
             if (turn != null && refusal == null) {
                 admitted(request, turn.result)
             } else {
-                limits.finished(request, EngineResult.Cancelled, clock.elapsed())
+                limits.onRequestFinished(request, EngineResult.Cancelled, clock.elapsed())
                 turn?.result?.complete(refusal)
             }
         }
@@ -162,7 +162,7 @@
         val target = configuration.current.objects.targets[self]
         val inService = target != null && configuration.current.objects.inService(target)
         invariants.check(inService, Invariant.NO_NEW_WORK_WHEN_OUT, Step.ADMIT) { "request=${request.text}" }
-        service.began()
+        service.onRequestStarted()
         turn.complete(null)
     }
 
@@ -172,14 +172,14 @@
     }
 
     /** The daemons that should hold the version of this target's fleet. */
-    fun holders(): List<Holder> {
+    fun holders(): List<WeightHolder> {
         val objects = configuration.current.objects
         val fleet = objects.targets[self]?.fleet ?: return emptyList()
         val daemons = membership.targetDaemons()
         return objects.targetsOf[fleet].orEmpty().mapNotNull { target ->
             val instance = daemons[target.id]?.takeUnless { it.leaving } ?: return@mapNotNull null
             val region = objects.regionOf(target.domain) ?: return@mapNotNull null
-            Holder(instance.daemon, target.domain, region)
+            WeightHolder(instance.daemon, target.domain, region)
         }
     }
 
@@ -218,7 +218,7 @@
 
     private fun report(): TargetReport {
         val accepting = closed() == null && switch.refusal() == null
-        return TargetReport(self, incarnation, limits.room(), switch.serving(), accepting)
+        return TargetReport(self, incarnation, limits.load(), switch.servingVersion(), accepting)
     }
 
     companion object {
--- a/traffic/src/test/kotlin/lagoonrudder/traffic/direct/DirectSendFilterTest.kt
+++ b/traffic/src/test/kotlin/lagoonrudder/traffic/direct/DirectSendFilterTest.kt
@@ -21,12 +21,12 @@
 import lagoonrudder.control.direct.PeerDaemon
 import lagoonrudder.control.direct.PlacementBounds
 import lagoonrudder.control.direct.PlacementController
-import lagoonrudder.control.direct.Places
-import lagoonrudder.control.direct.PublicationController
-import lagoonrudder.control.direct.ReadItem
-import lagoonrudder.control.direct.RepeatBounds
-import lagoonrudder.control.direct.RepeatShare
-import lagoonrudder.control.direct.SlotController
+import lagoonrudder.control.direct.Topology
+import lagoonrudder.control.direct.StoreViewController
+import lagoonrudder.control.direct.DecodedItem
+import lagoonrudder.control.direct.RetryBudgetBounds
+import lagoonrudder.control.direct.RetryBudgetShare
+import lagoonrudder.control.direct.BackEndStateController
 import lagoonrudder.control.direct.StoreItem
 import lagoonrudder.model.Address
 import lagoonrudder.model.BackEnd
@@ -41,7 +41,7 @@
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
-import lagoonrudder.model.Published
+import lagoonrudder.model.StoreRecord
 import lagoonrudder.model.Refusal
 import lagoonrudder.model.RegionId
 import lagoonrudder.model.RequestId
@@ -52,7 +52,7 @@
 import lagoonrudder.model.ServiceShare
 import lagoonrudder.model.ServingRoute
 import lagoonrudder.model.ServingService
-import lagoonrudder.model.ServingSet
+import lagoonrudder.model.ServingConfiguration
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.traffic.FilterChain
@@ -71,18 +71,18 @@
     data object Unreachable : Behaviour()
 
     data class Answers(
-        val events: List<AnswerEvent>,
+        val events: List<ResponseEvent>,
     ) : Behaviour()
 
     /** Sends [events] and then nothing more. */
     data class Silent(
-        val events: List<AnswerEvent>,
+        val events: List<ResponseEvent>,
     ) : Behaviour()
 }
 
 private class FakeLink(
     private val behaviours: MutableList<Behaviour>,
-) : BackEndLink {
+) : BackEndClient {
     val attempts = mutableListOf<DirectAttempt>()
     var abandoned = 0
 
@@ -95,16 +95,16 @@
         }
     }
 
-    override fun distrust(backEnd: BackEnd) = Unit
+    override fun discardIdleConnections(backEnd: BackEnd) = Unit
 
     private inner class FakeAttempt(
-        events: List<AnswerEvent>,
+        events: List<ResponseEvent>,
         private val silent: Boolean,
     ) : OpenAttempt {
         private val rest = ArrayDeque(events)
 
-        override suspend fun next(): AnswerEvent =
-            rest.removeFirstOrNull() ?: if (silent) awaitCancellation() else AnswerEvent.Broken("connection closed")
+        override suspend fun next(): ResponseEvent =
+            rest.removeFirstOrNull() ?: if (silent) awaitCancellation() else ResponseEvent.Broken("connection closed")
 
         override fun abandon() {
             abandoned++
@@ -112,13 +112,13 @@
     }
 }
 
-private class FakeAnswer : CallerAnswer {
-    val heads = mutableListOf<AnswerHead>()
+private class FakeAnswer : CallerResponse {
+    val heads = mutableListOf<ResponseHead>()
     val body = StringBuilder()
     var ended = false
 
-    override suspend fun whole(
-        head: AnswerHead,
+    override suspend fun respond(
+        head: ResponseHead,
         body: ByteArray,
     ) {
         heads += head
@@ -126,7 +126,7 @@
         ended = true
     }
 
-    override suspend fun begin(head: AnswerHead) {
+    override suspend fun begin(head: ResponseHead) {
         heads += head
     }
 
@@ -142,17 +142,17 @@
 private fun head(
     status: Int = 200,
     execution: Execution = Execution.RUN,
-) = AnswerEvent.Head(AnswerHead(status, emptyList(), null, execution, null))
+) = ResponseEvent.Head(ResponseHead(status, emptyList(), null, execution, null))
 
-private fun bytes(text: String) = AnswerEvent.Bytes(text.encodeToByteArray())
+private fun bytes(text: String) = ResponseEvent.Bytes(text.encodeToByteArray())
 
 private fun event(number: Int) = bytes("id: $number\ndata: $number\n\n")
 
 private fun text(vararg numbers: Int) = numbers.joinToString("") { "id: $it\ndata: $it\n\n" }
 
-private val NOT_RUN = Behaviour.Answers(listOf(head(503, Execution.NOT_RUN), AnswerEvent.End))
+private val NOT_RUN = Behaviour.Answers(listOf(head(503, Execution.NOT_RUN), ResponseEvent.End))
 private val RESET = Behaviour.Answers(emptyList())
-private val WHOLE = Behaviour.Answers(listOf(head(), bytes("done"), AnswerEvent.End))
+private val WHOLE = Behaviour.Answers(listOf(head(), bytes("done"), ResponseEvent.End))
 
 @OptIn(ExperimentalCoroutinesApi::class)
 private class Scene(
@@ -168,26 +168,26 @@
             override fun elapsed() = scope.currentTime.milliseconds
         }
     private val invariants = Invariants { error("violated: $it") }
-    private val publication = PublicationController(invariants)
+    private val storeView = StoreViewController(invariants)
     private val self = PeerDaemon(DaemonId("self"), DaemonRole.ENTRY, DOMAIN, REGION, null)
     private val peers = PeerController(self, emptyList())
     private val placement =
         PlacementController(
-            Places(DOMAIN, mapOf(DOMAIN to REGION)),
+            Topology(DOMAIN, mapOf(DOMAIN to REGION)),
             PlacementBounds(8.seconds, 1.5, 5.0),
-            publication,
+            storeView,
             peers,
-            SlotController(),
+            BackEndStateController(),
             Random(1),
         )
     private val control =
         DirectControl(
             ControlThread.virtual(StandardTestDispatcher(scope.testScheduler), clock, invariants),
             clock,
-            publication,
+            storeView,
             peers,
             placement,
-            RepeatShare(RepeatBounds(0.2, 10.seconds, 100.0)),
+            RetryBudgetShare(RetryBudgetBounds(0.2, 10.seconds, 100.0)),
         )
     val link = FakeLink(behaviours.toMutableList())
     val answer = FakeAnswer()
@@ -210,7 +210,7 @@
                 emptySet(),
             )
         val limits = CallerLimits(1, 1, 1.seconds, 1.seconds)
-        val set = ServingSet(Revision(1), listOf(route), listOf(ServingService(SERVICE, 9, null, null, null, null)), emptyList(), limits)
+        val set = ServingConfiguration(Revision(1), listOf(route), listOf(ServingService(SERVICE, 9, null, null, null, null)), emptyList(), limits)
         val backEnds =
             listOf("a", "b", "c").map { BackEnd(TargetId(it), SERVICE, Address("10.0.0.1", 1), DOMAIN, 4, false, Duration.ZERO, 1, null) }
         val items =
@@ -218,21 +218,21 @@
                 index,
                 each,
                 ->
-                ReadItem(StoreItem("servers/${each.id.text}", index + 2L, ByteArray(0)), Published.Registered(each))
+                DecodedItem(StoreItem("servers/${each.id.text}", index + 2L, ByteArray(0)), StoreRecord.Registered(each))
             }
-        publication.take(items + ReadItem(StoreItem("op/config", 1, ByteArray(0)), Published.Serving(set)), 9, Duration.ZERO)
+        storeView.applyChanges(items + DecodedItem(StoreItem("op/config", 1, ByteArray(0)), StoreRecord.Configuration(set)), 9, Duration.ZERO)
     }
 
     suspend fun run(
         path: String = "/a/b",
         timeLeft: Duration = 4.seconds,
     ): Outcome {
-        val request = CallerRequest(RequestId("r"), "POST", "host", path, null, timeLeft, null, null, emptyList(), ByteArray(0))
+        val request = DirectRequest(RequestId("r"), "POST", "host", path, null, timeLeft, null, null, emptyList(), ByteArray(0))
         return chain.run(DirectCall(request, answer, clock.elapsed()))
     }
 }
 
-private val STREAM = RequestKind.Stream(resumable = true, longestPause = 300.milliseconds)
+private val STREAM = RequestKind.Stream(resumable = true, maxEventGap = 300.milliseconds)
 
 @OptIn(ExperimentalCoroutinesApi::class)
 class DirectSendFilterTest :
@@ -275,7 +275,7 @@
 
         test("an idempotent request whose back end failed it is tried once more, and the failure is passed on unchanged") {
             runTest {
-                val failed = Behaviour.Answers(listOf(head(500), bytes("bad"), AnswerEvent.End))
+                val failed = Behaviour.Answers(listOf(head(500), bytes("bad"), ResponseEvent.End))
                 val scene = Scene(this, RequestKind.Idempotent, 2, failed, failed)
                 scene.run().shouldBeInstanceOf<Outcome.Completed>()
                 scene.answer.heads
@@ -288,7 +288,7 @@
         test("the failure of a request that may run once is passed on at once") {
             runTest {
                 val scene =
-                    Scene(this, RequestKind.AtMostOnce, 2, Behaviour.Answers(listOf(head(500), bytes("bad"), AnswerEvent.End)), WHOLE)
+                    Scene(this, RequestKind.AtMostOnce, 2, Behaviour.Answers(listOf(head(500), bytes("bad"), ResponseEvent.End)), WHOLE)
                 scene.run()
                 scene.link.attempts shouldHaveSize 1
                 scene.answer.heads
@@ -299,7 +299,7 @@
 
         test("an answer that proves nothing of its origin is never passed on") {
             runTest {
-                val forged = Behaviour.Answers(listOf(head(200, Execution.UNPROVEN), bytes("forged"), AnswerEvent.End))
+                val forged = Behaviour.Answers(listOf(head(200, Execution.UNPROVEN), bytes("forged"), ResponseEvent.End))
                 val scene = Scene(this, RequestKind.AtMostOnce, 2, forged)
                 scene.run().shouldBeInstanceOf<Outcome.Unknown>()
                 scene.answer.body.toString() shouldBe ""
@@ -318,7 +318,7 @@
         test("a stream goes on after its last whole event within the same answer") {
             runTest {
                 val torn = Behaviour.Answers(listOf(head(), event(1), event(2), bytes("id: 3\nda")))
-                val rest = Behaviour.Answers(listOf(head(), event(3), event(4), AnswerEvent.End))
+                val rest = Behaviour.Answers(listOf(head(), event(3), event(4), ResponseEvent.End))
                 val scene = Scene(this, STREAM, 2, torn, rest)
                 scene.run().shouldBeInstanceOf<Outcome.Completed>()
                 scene.link.attempts.map { it.resumeAfter } shouldContainExactly listOf(null, EventId(2))
@@ -330,14 +330,14 @@
         test("events that were passed on before are not passed on again, and a gap breaks the answer") {
             runTest {
                 val torn = Behaviour.Answers(listOf(head(), event(1), event(2)))
-                val overlapping = Behaviour.Answers(listOf(head(), event(2), event(3), AnswerEvent.End))
+                val overlapping = Behaviour.Answers(listOf(head(), event(2), event(3), ResponseEvent.End))
                 val scene = Scene(this, STREAM, 2, torn, overlapping)
                 scene.run().shouldBeInstanceOf<Outcome.Completed>()
                 scene.answer.body.toString() shouldBe text(1, 2, 3)
             }
             runTest {
                 val torn = Behaviour.Answers(listOf(head(), event(1)))
-                val gap = Behaviour.Answers(listOf(head(), event(3), AnswerEvent.End))
+                val gap = Behaviour.Answers(listOf(head(), event(3), ResponseEvent.End))
                 val scene = Scene(this, STREAM, 2, torn, gap)
                 scene.run().shouldBeInstanceOf<Outcome.Broken>()
                 scene.answer.ended shouldBe false
@@ -347,7 +347,7 @@
 
         test("a stream that ends inside an event is not complete") {
             runTest {
-                val scene = Scene(this, STREAM, 1, Behaviour.Answers(listOf(head(), event(1), bytes("id: 2"), AnswerEvent.End)))
+                val scene = Scene(this, STREAM, 1, Behaviour.Answers(listOf(head(), event(1), bytes("id: 2"), ResponseEvent.End)))
                 scene.run().shouldBeInstanceOf<Outcome.Broken>()
                 scene.answer.ended shouldBe false
             }
@@ -361,7 +361,7 @@
                         STREAM,
                         2,
                         Behaviour.Silent(listOf(head(), event(1))),
-                        Behaviour.Answers(listOf(head(), event(2), AnswerEvent.End)),
+                        Behaviour.Answers(listOf(head(), event(2), ResponseEvent.End)),
                     )
                 scene.run().shouldBeInstanceOf<Outcome.Completed>()
                 testScheduler.currentTime shouldBe 1_000
--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/IniSection.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/IniSection.kt
@@ -28,12 +28,12 @@
     private val values: Map<String, String>,
     private val step: Step,
 ) {
-    private val read = mutableSetOf<String>()
+    private val readKeys = mutableSetOf<String>()
 
     fun Raise<Failure.Malformed>.text(key: String): String = optionalText(key) ?: raise(malformed(key, "expected a value, found none"))
 
     fun optionalText(key: String): String? {
-        read += key
+        readKeys += key
         return values[key]?.takeIf { it.isNotBlank() }
     }
 
@@ -58,7 +58,7 @@
         return text.toDoubleOrNull()?.takeIf { it.isFinite() } ?: raise(malformed(key, "expected a number, found \"$text\""))
     }
 
-    fun Raise<Failure.Malformed>.yesOrNo(key: String): Boolean =
+    fun Raise<Failure.Malformed>.boolean(key: String): Boolean =
         when (val text = text(key)) {
             "yes" -> true
             "no" -> false
@@ -80,7 +80,7 @@
             .filter { it.isNotEmpty() }
             .map { address(key, it) }
 
-    fun <T : Enum<T>> Raise<Failure.Malformed>.choice(
+    fun <T : Enum<T>> Raise<Failure.Malformed>.enumValue(
         key: String,
         choices: List<T>,
     ): T {
@@ -90,9 +90,9 @@
     }
 
     /** Raises when the section holds a key that was not read. */
-    fun Raise<Failure.Malformed>.nothingElse() {
-        val unknown = values.keys.firstOrNull { it !in read } ?: return
-        raise(malformed(unknown, "expected one of ${read.sorted().joinToString(", ")}"))
+    fun Raise<Failure.Malformed>.rejectUnknownKeys() {
+        val unknown = values.keys.firstOrNull { it !in readKeys } ?: return
+        raise(malformed(unknown, "expected one of ${readKeys.sorted().joinToString(", ")}"))
     }
 
     fun malformed(
--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/InstanceText.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/InstanceText.kt
@@ -29,11 +29,11 @@
             with(section) {
                 Instance(
                     daemon = DaemonId(section.name.removePrefix(PREFIX)),
-                    role = choice("role", DaemonRole.entries),
+                    role = enumValue("role", DaemonRole.entries),
                     domain = DomainId(text("domain")),
                     target = optionalText("target")?.let(::TargetId),
                     address = address("address"),
-                    leaving = choice("state", InstanceState.entries) == InstanceState.LEAVING,
+                    leaving = enumValue("state", InstanceState.entries) == InstanceState.LEAVING,
                 )
             }
         }
--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/ObjectText.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/ObjectText.kt
@@ -21,13 +21,13 @@
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.RegionId
 import lagoonrudder.model.RouteId
-import lagoonrudder.model.Service
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.Step
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.canonicalText
 
-private val namePattern = Regex("[a-z0-9][a-z0-9._-]{0,62}")
+private val NAME_PATTERN = Regex("[a-z0-9][a-z0-9._-]{0,62}")
 
 /** Reads a whole file of objects and collects every error in it. The result is not checked as a set. */
 fun readObjects(
@@ -51,7 +51,7 @@
 /** Reads "kind name"; null when the kind is unknown or the name is not well formed. */
 internal fun objectKeyOrNull(text: String): ObjectKey? {
     val words = text.trim().split(Regex("\\s+"))
-    if (words.size != 2 || !words[1].matches(namePattern)) return null
+    if (words.size != 2 || !words[1].matches(NAME_PATTERN)) return null
     val kind = ObjectKind.entries.firstOrNull { it.text == words[0] } ?: return null
     return ObjectKey(kind, words[1])
 }
@@ -64,7 +64,7 @@
                 ?: raise(section.malformed("", "expected a header [kind name] with kind one of $kinds and a name of a-z 0-9 . _ -"))
         with(section) {
             val value = readKind(section, key)
-            nothingElse()
+            rejectUnknownKeys()
             value
         }
     }
@@ -75,10 +75,10 @@
 ): OperatorObject =
     with(section) {
         when (key.kind) {
-            ObjectKind.REGION -> OperatorObject.Region(RegionId(key.name), yesOrNo("origin"))
+            ObjectKind.REGION -> OperatorObject.Region(RegionId(key.name), boolean("origin"))
             ObjectKind.LINK -> OperatorObject.Link(key.name, RegionId(text("first")), RegionId(text("second")), long("bytes-per-second"))
             ObjectKind.DOMAIN ->
-                OperatorObject.Domain(DomainId(key.name), RegionId(text("region")), choice("service", Service.entries))
+                OperatorObject.Domain(DomainId(key.name), RegionId(text("region")), enumValue("service", AdminState.entries))
             ObjectKind.CUSTOMER -> OperatorObject.Customer(CustomerId(key.name), text("token"), int("weight"))
             ObjectKind.MODEL -> OperatorObject.Model(ModelId(key.name))
             ObjectKind.VERSION -> readVersion(section, key.name)
@@ -110,7 +110,7 @@
     with(section) {
         OperatorObject.Fleet(
             id = FleetId(name),
-            kind = choice("kind", FleetKind.entries),
+            kind = enumValue("kind", FleetKind.entries),
             version = optionalText("version")?.let(::VersionId),
             replaces = optionalText("replaces")?.let(::VersionId),
             floor = double("floor"),
@@ -126,7 +126,7 @@
             id = TargetId(name),
             fleet = FleetId(text("fleet")),
             domain = DomainId(text("domain")),
-            service = choice("service", Service.entries),
+            service = enumValue("service", AdminState.entries),
             weightBytes = long("weight-bytes"),
             memoryTokens = long("memory-tokens"),
             requests = int("requests"),
@@ -143,7 +143,7 @@
             path = text("path"),
             fleet = FleetId(text("fleet")),
             deadline = duration("deadline"),
-            idempotent = yesOrNo("idempotent"),
+            idempotent = boolean("idempotent"),
             priority = int("priority"),
             fallback = optionalText("fallback")?.let(::RouteId),
         )
--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/SealedDocument.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/SealedDocument.kt
@@ -22,8 +22,8 @@
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Peer
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedChanges
-import lagoonrudder.model.SealedSet
+import lagoonrudder.model.SnapshotDelta
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.Step
 import lagoonrudder.model.canonicalText
 import lagoonrudder.model.changesBetween
@@ -46,7 +46,7 @@
     val revision: Revision,
     val digest: Digest,
     val parts: List<Digest>,
-    val changes: SealedChanges?,
+    val changes: SnapshotDelta?,
 )
 
 /** What the tool publishes: write the parts first, the head last. */
@@ -57,8 +57,8 @@
 
 /** Seals [set] as the successor of [before]. Fails when the revision doesn't rise or an object exceeds a part. */
 fun seal(
-    set: SealedSet,
-    before: SealedSet,
+    set: ObjectSnapshot,
+    before: ObjectSnapshot,
     file: String,
 ): Either<Failure.Malformed, SealedDocument> =
     either {
@@ -71,11 +71,11 @@
     }
 
 /** The text that carries [changes] alone, for peers. */
-fun writeChanges(changes: SealedChanges): String =
+fun writeChanges(changes: SnapshotDelta): String =
     headText(changes.revision, changes.digest, emptyList(), changes) + writeObjects(changes.changes.changed)
 
 /** The text that carries the whole of [set], for peers. */
-fun writeWhole(set: SealedSet): String =
+fun writeSet(set: ObjectSnapshot): String =
     headText(set.revision, set.digest, listOf(set.digest), null) + writeObjects(set.objects.byKey.values)
 
 /** Reads a head from the platform or changes from a peer; objects in it belong to its changes. */
@@ -95,40 +95,40 @@
     head: SealedHead,
     parts: Map<Digest, String>,
     peer: Peer,
-): Either<Failure, SealedSet> =
+): Either<Failure, ObjectSnapshot> =
     either {
         val texts = head.parts.map { parts[it] ?: raise(damaged(peer, "part ${it.hexadecimal} is missing")) }
         for ((digest, text) in head.parts.zip(texts)) {
             ensure(digestOf(text.encodeToByteArray()) == digest) { damaged(peer, "part ${digest.hexadecimal} doesn't match its digest") }
         }
         val objects = readObjects(texts.joinToString("\n"), peer.toString()).mapLeft { it.first() }.bind()
-        verified(SealedSet(head.revision, objects), head.digest, peer).bind()
+        verifyDigest(ObjectSnapshot(head.revision, objects), head.digest, peer).bind()
     }
 
 /** Reads a whole set that a peer sent as one text. */
-fun readWhole(
+fun readSet(
     text: String,
     peer: Peer,
-): Either<Failure, SealedSet> =
+): Either<Failure, ObjectSnapshot> =
     either {
         val sections = readIni(text, peer.toString(), Step.VERIFY_SEAL).bind()
         val sealed = sections.firstOrNull { it.name == SEALED } ?: raise(damaged(peer, "no section [$SEALED]"))
         val objects = readSections(sections - sealed).mapLeft { it.first() }.bind()
         val head = readSealed(sealed, emptyList())
-        verified(SealedSet(head.revision, ObjectSet(objects)), head.digest, peer).bind()
+        verifyDigest(ObjectSnapshot(head.revision, ObjectSet(objects)), head.digest, peer).bind()
     }
 
 private const val SEALED = "sealed"
 
 /** Room that a part leaves for the keys of the configuration service. */
-private const val PART_BYTES = MAXIMUM_PART_BYTES - 10_000
-private const val LARGEST_CHANGES = 400_000
+private const val MAX_PART_TEXT_BYTES = MAXIMUM_PART_BYTES - 10_000
+private const val MAX_CHANGES_BYTES = 400_000
 
-private fun verified(
-    set: SealedSet,
+private fun verifyDigest(
+    set: ObjectSnapshot,
     digest: Digest,
     peer: Peer,
-): Either<Failure, SealedSet> = if (set.digest == digest) set.right() else damaged(peer, "the set doesn't match its digest").left()
+): Either<Failure, ObjectSnapshot> = if (set.digest == digest) set.right() else damaged(peer, "the set doesn't match its digest").left()
 
 private fun damaged(
     peer: Peer,
@@ -150,9 +150,9 @@
     for (value in objects.byKey.values) {
         val canonical = canonicalText(value) + "\n"
         ensure(
-            canonical.length <= PART_BYTES,
-        ) { section.malformed(value.key.toString(), "expected an object of at most $PART_BYTES bytes") }
-        if (text.length + canonical.length > PART_BYTES) close()
+            canonical.length <= MAX_PART_TEXT_BYTES,
+        ) { section.malformed(value.key.toString(), "expected an object of at most $MAX_PART_TEXT_BYTES bytes") }
+        if (text.length + canonical.length > MAX_PART_TEXT_BYTES) close()
         text.append(canonical)
     }
     close()
@@ -160,13 +160,13 @@
 }
 
 private fun writeHead(
-    set: SealedSet,
+    set: ObjectSnapshot,
     parts: List<Digest>,
-    before: SealedSet,
+    before: ObjectSnapshot,
 ): String {
-    val changes = SealedChanges(before.revision, before.digest, set.revision, set.digest, changesBetween(before.objects, set.objects))
+    val changes = SnapshotDelta(before.revision, before.digest, set.revision, set.digest, changesBetween(before.objects, set.objects))
     val objects = writeObjects(changes.changes.changed)
-    val small = before.revision > Revision.NONE && objects.length <= LARGEST_CHANGES
+    val small = before.revision > Revision.NONE && objects.length <= MAX_CHANGES_BYTES
     val head = headText(set.revision, set.digest, parts, changes.takeIf { small })
     return if (small) head + objects else head
 }
@@ -175,7 +175,7 @@
     revision: Revision,
     digest: Digest,
     parts: List<Digest>,
-    changes: SealedChanges?,
+    changes: SnapshotDelta?,
 ): String =
     buildString {
         append("[$SEALED]\n")
@@ -206,10 +206,10 @@
         val base = optionalText("base")?.let { Revision(long("base")) }
         val baseDigest = optionalText("base-digest")?.let(::Digest)
         val removed = readRemoved(section)
-        nothingElse()
+        rejectUnknownKeys()
         val changes =
             if (base != null && baseDigest != null) {
-                SealedChanges(base, baseDigest, revision, digest, ObjectChanges(objects, removed))
+                SnapshotDelta(base, baseDigest, revision, digest, ObjectChanges(objects, removed))
             } else {
                 null
             }
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/DirectMessages.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/DirectMessages.kt
@@ -9,7 +9,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.protobuf.ProtoNumber
 import lagoonrudder.control.direct.PeerDaemon
-import lagoonrudder.control.direct.PeerSighting
+import lagoonrudder.control.direct.LivePeer
 import lagoonrudder.control.direct.SlotWord
 import lagoonrudder.control.direct.StoreItem
 import lagoonrudder.control.direct.WeightManifest
@@ -35,13 +35,13 @@
 )
 
 @Serializable
-data class SightingMessage(
+data class LivePeerMessage(
     @ProtoNumber(1) val peer: PeerMessage,
     @ProtoNumber(2) val ageMilliseconds: Long,
 )
 
 @Serializable
-data class LoadMessage(
+data class InFlightMessage(
     @ProtoNumber(1) val target: String,
     @ProtoNumber(2) val inFlight: Int,
 )
@@ -65,23 +65,23 @@
     @ProtoNumber(4) val value: ByteArray,
 )
 
-/** What a daemon says of itself; [wantsItems] asks for the items that changed after [at], [wantsPeers] for who is alive. */
+/** What a daemon says of itself; [itemsRequested] asks for the items that changed after [at], [peersRequested] for who is alive. */
 @Serializable
-data class WordMessage(
+data class GossipMessage(
     @ProtoNumber(1) val self: PeerMessage,
     @ProtoNumber(2) val at: Long,
-    @ProtoNumber(3) val wantsItems: Boolean = false,
-    @ProtoNumber(4) val loads: List<LoadMessage> = emptyList(),
+    @ProtoNumber(3) val itemsRequested: Boolean = false,
+    @ProtoNumber(4) val loads: List<InFlightMessage> = emptyList(),
     @ProtoNumber(5) val slot: SlotMessage? = null,
-    @ProtoNumber(6) val wantsPeers: Boolean = false,
+    @ProtoNumber(6) val peersRequested: Boolean = false,
 )
 
 @Serializable
-class WordReply(
+class GossipReply(
     @ProtoNumber(1) val self: PeerMessage,
     @ProtoNumber(2) val at: Long,
-    @ProtoNumber(3) val loads: List<LoadMessage> = emptyList(),
-    @ProtoNumber(4) val sightings: List<SightingMessage> = emptyList(),
+    @ProtoNumber(3) val loads: List<InFlightMessage> = emptyList(),
+    @ProtoNumber(4) val livePeers: List<LivePeerMessage> = emptyList(),
     @ProtoNumber(5) val items: List<ItemMessage> = emptyList(),
 )
 
@@ -103,19 +103,19 @@
         address = addressOrNull(address),
     )
 
-fun PeerSighting.toMessage() = SightingMessage(peer.toMessage(), age.inWholeMilliseconds)
+fun LivePeer.toMessage() = LivePeerMessage(peer.toMessage(), age.inWholeMilliseconds)
 
-fun SightingMessage.toSighting() = PeerSighting(peer.toPeer(), ageMilliseconds.milliseconds)
+fun LivePeerMessage.toLivePeer() = LivePeer(peer.toPeer(), ageMilliseconds.milliseconds)
 
-fun Map<TargetId, Int>.toMessages() = map { LoadMessage(it.key.text, it.value) }
+fun Map<TargetId, Int>.toMessages() = map { InFlightMessage(it.key.text, it.value) }
 
-fun List<LoadMessage>.toLoads(): Map<TargetId, Int> = associate { TargetId(it.target) to it.inFlight }
+fun List<InFlightMessage>.toLoads(): Map<TargetId, Int> = associate { TargetId(it.target) to it.inFlight }
 
 fun SlotWord.toMessage() =
     SlotMessage(backEnd.toString(), born, held?.model?.text.orEmpty(), held?.number?.number ?: 0, held?.layers ?: 0, closed)
 
 /** Null when the address of the back end is none. */
-fun SlotMessage.toWord(): SlotWord? {
+fun SlotMessage.toSlotWord(): SlotWord? {
     val held = if (model.isEmpty()) null else HeldWeights(ModelId(model), WeightNumber(number), layers)
     return addressOrNull(backEnd)?.let { SlotWord(it, born, held, closed) }
 }
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/Mapping.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/Mapping.kt
@@ -6,10 +6,10 @@
 package lagoonrudder.wire.messages
 
 import lagoonrudder.control.InstanceChanges
-import lagoonrudder.control.RecordedAnswer
-import lagoonrudder.control.RepeatDecision
-import lagoonrudder.control.Room
-import lagoonrudder.control.Surrender
+import lagoonrudder.control.RecordedResponse
+import lagoonrudder.control.IdempotencyDecision
+import lagoonrudder.control.TargetLoad
+import lagoonrudder.control.SurrenderResult
 import lagoonrudder.control.SwitchReport
 import lagoonrudder.control.SwitchStatus
 import lagoonrudder.control.TargetReport
@@ -22,7 +22,7 @@
 import lagoonrudder.model.IncarnationId
 import lagoonrudder.model.Instance
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
 import lagoonrudder.model.TargetId
@@ -73,7 +73,7 @@
         timeLeft = timeLeftMilliseconds.milliseconds,
         tokens = tokens.takeIf { it > 0 } ?: malformed("tokens $tokens"),
         priority = priority,
-        permit = permit?.let { RunPermit(RepeatKey(it.key), it.number) },
+        permit = permit?.let { RunPermit(IdempotencyKey(it.key), it.number) },
         work = workOf(this),
     )
 
@@ -89,25 +89,25 @@
 
 fun RunEvent.toMessage(): EventMessage =
     when (this) {
-        is RunEvent.NotRun -> EventMessage(notRun = refusal.toMessage(room))
+        is RunEvent.NotRun -> EventMessage(notRun = refusal.toMessage(load))
         is RunEvent.Head -> EventMessage(head = HeadMessage(request.text, attempt, version?.text.orEmpty(), status, contentType))
         is RunEvent.Bytes -> EventMessage(bytes = BytesMessage(offset, data, checksum))
-        is RunEvent.End -> EventMessage(end = EndMessage(length, checksum, room?.toMessage()))
+        is RunEvent.End -> EventMessage(end = EndMessage(length, checksum, load?.toMessage()))
     }
 
 fun EventMessage.toEvent(): RunEvent {
-    notRun?.let { return RunEvent.NotRun(it.toRefusal(), it.room?.toRoom()) }
+    notRun?.let { return RunEvent.NotRun(it.toRefusal(), it.load?.toTargetLoad()) }
     head?.let { return RunEvent.Head(RequestId(it.request), it.attempt, versionOrNull(it.version), it.status, it.contentType) }
     bytes?.let { return RunEvent.Bytes(it.offset, it.data, it.checksum) }
-    end?.let { return RunEvent.End(it.length, it.checksum, it.room?.toRoom()) }
+    end?.let { return RunEvent.End(it.length, it.checksum, it.load?.toTargetLoad()) }
     malformed("an event without content")
 }
 
-fun Room.toMessage() = RoomMessage(limit, inFlight, freeTokens)
+fun TargetLoad.toMessage() = TargetLoadMessage(limit, inFlight, freeTokens)
 
-fun RoomMessage.toRoom() = Room(limit, inFlight, freeTokens)
+fun TargetLoadMessage.toTargetLoad() = TargetLoad(limit, inFlight, freeTokens)
 
-fun Refusal.toMessage(room: Room? = null): RefusalMessage {
+fun Refusal.toMessage(load: TargetLoad? = null): RefusalMessage {
     val detail =
         when (this) {
             is Refusal.Invalid -> expected
@@ -115,7 +115,7 @@
             Refusal.UnknownRoute, Refusal.UnknownCustomer -> ""
             is Refusal.Overloaded, is Refusal.TooLate, is Refusal.NoTarget, is Refusal.WrongVersion -> ""
         }
-    return RefusalMessage(code, retryAfter?.inWholeMilliseconds ?: 0, detail, room?.toMessage())
+    return RefusalMessage(code, retryAfter?.inWholeMilliseconds ?: 0, detail, load?.toMessage())
 }
 
 fun RefusalMessage.toRefusal(): Refusal {
@@ -135,53 +135,53 @@
 
 fun ReserveRequest.toMessage() = ReserveMessage(request.text, fleet.text, key.text, body.hexadecimal, revision.number)
 
-fun ReserveMessage.toRequest() = ReserveRequest(RequestId(request), FleetId(fleet), RepeatKey(key), Digest(body), Revision(revision))
+fun ReserveMessage.toRequest() = ReserveRequest(RequestId(request), FleetId(fleet), IdempotencyKey(key), Digest(body), Revision(revision))
 
-fun RepeatDecision.toMessage(): ReserveReply =
+fun IdempotencyDecision.toMessage(): ReserveReply =
     when (this) {
-        is RepeatDecision.Permitted -> ReserveReply(permit = permit)
-        is RepeatDecision.Uncertain -> ReserveReply(uncertain = detail)
-        is RepeatDecision.Refused -> ReserveReply(refused = refusal.toMessage())
-        is RepeatDecision.RanBefore -> ReserveReply(ranBefore = recorded(answer))
-        is RepeatDecision.AskOwners -> ReserveReply(uncertain = "earlier owners were not asked")
+        is IdempotencyDecision.Permitted -> ReserveReply(permit = permit)
+        is IdempotencyDecision.Uncertain -> ReserveReply(uncertain = detail)
+        is IdempotencyDecision.Refused -> ReserveReply(refused = refusal.toMessage())
+        is IdempotencyDecision.AlreadyRan -> ReserveReply(alreadyRan = recorded(response))
+        is IdempotencyDecision.QueryPreviousOwners -> ReserveReply(uncertain = "earlier owners were not asked")
     }
 
-private fun recorded(answer: RecordedAnswer?): RecordedMessage =
-    if (answer == null) RecordedMessage() else RecordedMessage(true, answer.status, answer.contentType, answer.body)
+private fun recorded(response: RecordedResponse?): RecordedResponseMessage =
+    if (response == null) RecordedResponseMessage() else RecordedResponseMessage(true, response.status, response.contentType, response.body)
 
-fun ReserveReply.toDecision(): RepeatDecision {
-    permit?.let { return RepeatDecision.Permitted(it) }
-    uncertain?.let { return RepeatDecision.Uncertain(it) }
-    refused?.let { return RepeatDecision.Refused(it.toRefusal()) }
-    val recorded = ranBefore ?: malformed("a reservation without content")
-    return RepeatDecision.RanBefore(recorded.toAnswer())
+fun ReserveReply.toDecision(): IdempotencyDecision {
+    permit?.let { return IdempotencyDecision.Permitted(it) }
+    uncertain?.let { return IdempotencyDecision.Uncertain(it) }
+    refused?.let { return IdempotencyDecision.Refused(it.toRefusal()) }
+    val recorded = alreadyRan ?: malformed("a reservation without content")
+    return IdempotencyDecision.AlreadyRan(recorded.toResponse())
 }
 
-private fun RecordedMessage.toAnswer(): RecordedAnswer? = if (held) RecordedAnswer(status, contentType, body) else null
+private fun RecordedResponseMessage.toResponse(): RecordedResponse? = if (held) RecordedResponse(status, contentType, body) else null
 
 fun SurrenderRequest.toMessage() = SurrenderMessage(key.text, revision.number)
 
-fun SurrenderMessage.toRequest() = SurrenderRequest(RepeatKey(key), Revision(revision))
+fun SurrenderMessage.toRequest() = SurrenderRequest(IdempotencyKey(key), Revision(revision))
 
-fun Surrender.toMessage(): SurrenderReply =
+fun SurrenderResult.toMessage(): SurrenderReply =
     when (this) {
-        Surrender.Unseen -> SurrenderReply(unseen = true)
-        is Surrender.RanBefore -> SurrenderReply(ranBefore = recorded(answer))
-        is Surrender.Uncertain -> SurrenderReply(uncertain = detail)
+        SurrenderResult.Released -> SurrenderReply(released = true)
+        is SurrenderResult.AlreadyRan -> SurrenderReply(alreadyRan = recorded(response))
+        is SurrenderResult.Uncertain -> SurrenderReply(uncertain = detail)
     }
 
-fun SurrenderReply.toSurrender(): Surrender {
-    if (unseen) return Surrender.Unseen
-    uncertain?.let { return Surrender.Uncertain(it) }
-    val recorded = ranBefore ?: malformed("a surrender without content")
-    return Surrender.RanBefore(recorded.toAnswer())
+fun SurrenderReply.toSurrender(): SurrenderResult {
+    if (released) return SurrenderResult.Released
+    uncertain?.let { return SurrenderResult.Uncertain(it) }
+    val recorded = alreadyRan ?: malformed("a surrender without content")
+    return SurrenderResult.AlreadyRan(recorded.toResponse())
 }
 
 fun TargetReport.toMessage() =
     ReportMessage(
         target.text,
         incarnation.text,
-        room.toMessage(),
+        load.toMessage(),
         version?.text.orEmpty(),
         accepting,
     )
@@ -190,7 +190,7 @@
     TargetReport(
         TargetId(target),
         IncarnationId(incarnation),
-        room.toRoom(),
+        load.toTargetLoad(),
         versionOrNull(version),
         accepting,
     )
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/PeerMessages.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/PeerMessages.kt
@@ -32,14 +32,14 @@
 @Serializable
 class OfferMessage(
     @ProtoNumber(1) val sender: String,
-    @ProtoNumber(2) val whole: Boolean = false,
+    @ProtoNumber(2) val full: Boolean = false,
     @ProtoNumber(3) val text: String = "",
 )
 
 /** Whether the receiver lacks the set that the changes start from. */
 @Serializable
 class OfferReply(
-    @ProtoNumber(1) val wholeNeeded: Boolean = false,
+    @ProtoNumber(1) val needsFullSet: Boolean = false,
 )
 
 @Serializable
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/RunMessages.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/RunMessages.kt
@@ -62,11 +62,11 @@
     @ProtoNumber(1) val code: String,
     @ProtoNumber(2) val retryAfterMilliseconds: Long = 0,
     @ProtoNumber(3) val detail: String = "",
-    @ProtoNumber(4) val room: RoomMessage? = null,
+    @ProtoNumber(4) val load: TargetLoadMessage? = null,
 )
 
 @Serializable
-class RoomMessage(
+class TargetLoadMessage(
     @ProtoNumber(1) val limit: Int = 0,
     @ProtoNumber(2) val inFlight: Int = 0,
     @ProtoNumber(3) val freeTokens: Long = 0,
@@ -92,7 +92,7 @@
 class EndMessage(
     @ProtoNumber(1) val length: Long = 0,
     @ProtoNumber(2) val checksum: Long = 0,
-    @ProtoNumber(3) val room: RoomMessage? = null,
+    @ProtoNumber(3) val load: TargetLoadMessage? = null,
 )
 
 @Serializable
@@ -108,13 +108,13 @@
 @Serializable
 class ReserveReply(
     @ProtoNumber(1) val permit: Long? = null,
-    @ProtoNumber(2) val ranBefore: RecordedMessage? = null,
+    @ProtoNumber(2) val alreadyRan: RecordedResponseMessage? = null,
     @ProtoNumber(3) val uncertain: String? = null,
     @ProtoNumber(4) val refused: RefusalMessage? = null,
 )
 
 @Serializable
-class RecordedMessage(
+class RecordedResponseMessage(
     @ProtoNumber(1) val held: Boolean = false,
     @ProtoNumber(2) val status: Int = 0,
     @ProtoNumber(3) val contentType: String = "",
@@ -125,7 +125,7 @@
 class ReportMessage(
     @ProtoNumber(1) val target: String,
     @ProtoNumber(2) val incarnation: String,
-    @ProtoNumber(3) val room: RoomMessage,
+    @ProtoNumber(3) val load: TargetLoadMessage,
     @ProtoNumber(4) val version: String = "",
     @ProtoNumber(5) val accepting: Boolean = false,
 )
@@ -146,7 +146,7 @@
 /** Exactly one field is set. */
 @Serializable
 class SurrenderReply(
-    @ProtoNumber(1) val unseen: Boolean = false,
-    @ProtoNumber(2) val ranBefore: RecordedMessage? = null,
+    @ProtoNumber(1) val released: Boolean = false,
+    @ProtoNumber(2) val alreadyRan: RecordedResponseMessage? = null,
     @ProtoNumber(3) val uncertain: String? = null,
 )
--- a/wire/src/main/kotlin/lagoonrudder/wire/rpc/Methods.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/rpc/Methods.kt
@@ -55,15 +55,15 @@
     type: MethodDescriptor.MethodType,
     service: String,
     name: String,
-    question: KSerializer<Q>,
-    answer: KSerializer<A>,
+    requestSerializer: KSerializer<Q>,
+    responseSerializer: KSerializer<A>,
 ): MethodDescriptor<Q, A> =
     MethodDescriptor
         .newBuilder<Q, A>()
         .setType(type)
         .setFullMethodName(MethodDescriptor.generateFullMethodName(service, name))
-        .setRequestMarshaller(ProtocolBufferMarshaller(question))
-        .setResponseMarshaller(ProtocolBufferMarshaller(answer))
+        .setRequestMarshaller(ProtocolBufferMarshaller(requestSerializer))
+        .setResponseMarshaller(ProtocolBufferMarshaller(responseSerializer))
         .build()
 
 private class ProtocolBufferMarshaller<T : Any>(
--- a/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcClient.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcClient.kt
@@ -20,8 +20,8 @@
 import kotlinx.coroutines.flow.catch
 import kotlinx.coroutines.flow.map
 import lagoonrudder.control.InstanceChanges
-import lagoonrudder.control.RepeatDecision
-import lagoonrudder.control.Surrender
+import lagoonrudder.control.IdempotencyDecision
+import lagoonrudder.control.SurrenderResult
 import lagoonrudder.control.SwitchReport
 import lagoonrudder.control.TargetReport
 import lagoonrudder.model.Address
@@ -37,7 +37,7 @@
 import lagoonrudder.traffic.RunEvent
 import lagoonrudder.traffic.RunRequest
 import lagoonrudder.traffic.SurrenderRequest
-import lagoonrudder.traffic.TargetLink
+import lagoonrudder.traffic.TargetClient
 import lagoonrudder.wire.messages.ChunkMessage
 import lagoonrudder.wire.messages.ChunkReply
 import lagoonrudder.wire.messages.EmptyMessage
@@ -55,7 +55,7 @@
 import kotlin.time.Duration
 
 /** What a peer has in force, and what is newer there. */
-class ExchangeAnswer(
+class ExchangeResult(
     val revision: Revision,
     val digest: Digest,
     val offer: OfferMessage?,
@@ -63,13 +63,13 @@
 )
 
 class RpcClient :
-    TargetLink,
+    TargetClient,
     AutoCloseable {
-    private enum class Use { REQUESTS, BULK }
+    private enum class ChannelPurpose { REQUESTS, BULK }
 
     private data class ChannelKey(
         val address: Address,
-        val use: Use,
+        val purpose: ChannelPurpose,
     )
 
     private val channels = ConcurrentHashMap<ChannelKey, ManagedChannel>()
@@ -78,8 +78,8 @@
         target: Instance,
         request: ReserveRequest,
         limit: Duration,
-    ): Either<Failure, RepeatDecision> =
-        call(Methods.reserve, target.address, Use.REQUESTS, request.toMessage(), limit, Step.GUARD_REPEATS, PeerRole.TARGET) {
+    ): Either<Failure, IdempotencyDecision> =
+        call(Methods.reserve, target.address, ChannelPurpose.REQUESTS, request.toMessage(), limit, Step.GUARD_REPEATS, PeerRole.TARGET) {
             it.toDecision()
         }
 
@@ -90,7 +90,7 @@
 
     /** Callers pace their tries themselves, so that the pause of the connection after a failure is skipped. */
     override fun reports(target: Instance): Flow<Either<Failure, TargetReport>> {
-        channel(target.address, Use.REQUESTS).resetConnectBackoff()
+        channel(target.address, ChannelPurpose.REQUESTS).resetConnectBackoff()
         return stream(Methods.reports, target, EmptyMessage(), Step.CHOOSE_TARGET) { it.toReport() }
     }
 
@@ -98,28 +98,28 @@
         target: Instance,
         limit: Duration,
     ): Either<Failure, SwitchReport> =
-        call(Methods.switch, target.address, Use.REQUESTS, EmptyMessage(), limit, Step.ORDER_ENGINE, PeerRole.TARGET) { it.toReport() }
+        call(Methods.switch, target.address, ChannelPurpose.REQUESTS, EmptyMessage(), limit, Step.ORDER_ENGINE, PeerRole.TARGET) { it.toReport() }
 
     override suspend fun surrender(
         target: Instance,
         request: SurrenderRequest,
         limit: Duration,
-    ): Either<Failure, Surrender> =
-        call(Methods.surrender, target.address, Use.REQUESTS, request.toMessage(), limit, Step.GUARD_REPEATS, PeerRole.TARGET) {
+    ): Either<Failure, SurrenderResult> =
+        call(Methods.surrender, target.address, ChannelPurpose.REQUESTS, request.toMessage(), limit, Step.GUARD_REPEATS, PeerRole.TARGET) {
             it.toSurrender()
         }
 
     override fun reset(target: Instance) {
-        channels.remove(ChannelKey(target.address, Use.REQUESTS))?.shutdownNow()
+        channels.remove(ChannelKey(target.address, ChannelPurpose.REQUESTS))?.shutdownNow()
     }
 
     suspend fun exchange(
         address: Address,
         message: ExchangeMessage,
         limit: Duration,
-    ): Either<Failure, ExchangeAnswer> =
-        call(Methods.exchange, address, Use.BULK, message, limit, Step.EXCHANGE_CONFIGURATION, PeerRole.ENTRY) {
-            ExchangeAnswer(Revision(it.revision), Digest(it.digest), it.offer, it.instances?.toChanges())
+    ): Either<Failure, ExchangeResult> =
+        call(Methods.exchange, address, ChannelPurpose.BULK, message, limit, Step.EXCHANGE_CONFIGURATION, PeerRole.ENTRY) {
+            ExchangeResult(Revision(it.revision), Digest(it.digest), it.offer, it.instances?.toChanges())
         }
 
     suspend fun offer(
@@ -127,13 +127,13 @@
         message: OfferMessage,
         limit: Duration,
     ): Either<Failure, OfferReply> =
-        call(Methods.offer, address, Use.BULK, message, limit, Step.EXCHANGE_CONFIGURATION, PeerRole.ENTRY) { it }
+        call(Methods.offer, address, ChannelPurpose.BULK, message, limit, Step.EXCHANGE_CONFIGURATION, PeerRole.ENTRY) { it }
 
     suspend fun chunk(
         address: Address,
         message: ChunkMessage,
         limit: Duration,
-    ): Either<Failure, ChunkReply> = call(Methods.chunk, address, Use.BULK, message, limit, Step.DRAW_CHUNK, PeerRole.TARGET) { it }
+    ): Either<Failure, ChunkReply> = call(Methods.chunk, address, ChannelPurpose.BULK, message, limit, Step.DRAW_CHUNK, PeerRole.TARGET) { it }
 
     /** Closes the connections to addresses that are not in [used]. */
     fun retain(used: Set<Address>) {
@@ -148,7 +148,7 @@
     private suspend fun <Q : Any, A : Any, R> call(
         method: MethodDescriptor<Q, A>,
         address: Address,
-        use: Use,
+        purpose: ChannelPurpose,
         message: Q,
         limit: Duration,
         step: Step,
@@ -157,8 +157,8 @@
     ): Either<Failure, R> =
         try {
             val options = CallOptions.DEFAULT.withDeadlineAfter(limit.inWholeMilliseconds, TimeUnit.MILLISECONDS)
-            val answer = ClientCalls.unaryRpc(channel(address, use), method, message, options, Metadata())
-            read(answer).right()
+            val response = ClientCalls.unaryRpc(channel(address, purpose), method, message, options, Metadata())
+            read(response).right()
         } catch (cancelled: CancellationException) {
             throw cancelled
         } catch (
@@ -176,19 +176,19 @@
     ): Flow<Either<Failure, R>> {
         val peer = Peer(if (target.role == DaemonRole.TARGET) PeerRole.TARGET else PeerRole.ENTRY, target.address.toString())
         return ClientCalls
-            .serverStreamingRpc(channel(target.address, Use.REQUESTS), method, message, CallOptions.DEFAULT, Metadata())
+            .serverStreamingRpc(channel(target.address, ChannelPurpose.REQUESTS), method, message, CallOptions.DEFAULT, Metadata())
             .map<A, Either<Failure, R>> { read(it).right() }
             .catch { error -> emit(failureOf(error, step, peer, Duration.INFINITE).left()) }
     }
 
     private fun channel(
         address: Address,
-        use: Use,
-    ): ManagedChannel = channels.computeIfAbsent(ChannelKey(address, use)) { open(address, use) }
+        purpose: ChannelPurpose,
+    ): ManagedChannel = channels.computeIfAbsent(ChannelKey(address, purpose)) { open(address, purpose) }
 
     private fun open(
         address: Address,
-        use: Use,
+        purpose: ChannelPurpose,
     ): ManagedChannel {
         val builder =
             NettyChannelBuilder
@@ -197,8 +197,8 @@
                 .disableRetry()
                 .keepAliveTime(KEEPALIVE_SECONDS, TimeUnit.SECONDS)
                 .keepAliveTimeout(KEEPALIVE_SECONDS / 2, TimeUnit.SECONDS)
-                .maxInboundMessageSize(LARGEST_MESSAGE_BYTES)
-        if (use == Use.REQUESTS) builder.flowControlWindow(TRAFFIC_WINDOW_BYTES)
+                .maxInboundMessageSize(MAX_MESSAGE_BYTES)
+        if (purpose == ChannelPurpose.REQUESTS) builder.flowControlWindow(REQUEST_WINDOW_BYTES)
         return builder.build()
     }
 }
--- a/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcServer.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/rpc/RpcServer.kt
@@ -10,8 +10,8 @@
 import io.grpc.netty.shaded.io.grpc.netty.NettyServerBuilder
 import kotlinx.coroutines.flow.Flow
 import kotlinx.coroutines.flow.map
-import lagoonrudder.control.RepeatDecision
-import lagoonrudder.control.Surrender
+import lagoonrudder.control.IdempotencyDecision
+import lagoonrudder.control.SurrenderResult
 import lagoonrudder.control.SwitchReport
 import lagoonrudder.control.TargetReport
 import lagoonrudder.model.Address
@@ -36,9 +36,9 @@
 interface TargetService {
     fun run(request: RunRequest): Flow<RunEvent>
 
-    suspend fun reserve(request: ReserveRequest): RepeatDecision
+    suspend fun reserve(request: ReserveRequest): IdempotencyDecision
 
-    suspend fun surrender(request: SurrenderRequest): Surrender
+    suspend fun surrender(request: SurrenderRequest): SurrenderResult
 
     fun reports(): Flow<TargetReport>
 
@@ -55,8 +55,8 @@
 }
 
 /** Bytes that one answer may have under way on a connection; small, so that slow readers hold little. */
-internal const val TRAFFIC_WINDOW_BYTES = 16_384
-internal const val LARGEST_MESSAGE_BYTES = 16_000_000
+internal const val REQUEST_WINDOW_BYTES = 16_384
+internal const val MAX_MESSAGE_BYTES = 16_000_000
 internal const val KEEPALIVE_SECONDS = 2L
 
 /** A started gRPC server; [port] is the one it got when [address] asked for any. */
@@ -66,7 +66,7 @@
     val port: Int get() = server.port
 
     /** Takes no new calls; those under way go on. */
-    fun leave() {
+    fun beginShutdown() {
         server.shutdown()
     }
 
@@ -87,7 +87,7 @@
                     .forAddress(InetSocketAddress(address.host, address.port))
                     .permitKeepAliveTime(KEEPALIVE_SECONDS / 2, TimeUnit.SECONDS)
                     .permitKeepAliveWithoutCalls(true)
-                    .maxInboundMessageSize(LARGEST_MESSAGE_BYTES)
+                    .maxInboundMessageSize(MAX_MESSAGE_BYTES)
                     .addService(peerDefinition(context, peer))
             if (target != null) builder.addService(targetDefinition(context, target))
             return RpcServer(builder.build().start())
--- a/wire/src/test/kotlin/lagoonrudder/wire/MessagesTest.kt
+++ b/wire/src/test/kotlin/lagoonrudder/wire/MessagesTest.kt
@@ -5,11 +5,11 @@
 import io.kotest.matchers.shouldBe
 import io.kotest.matchers.types.shouldBeInstanceOf
 import kotlinx.serialization.serializer
-import lagoonrudder.control.Room
+import lagoonrudder.control.TargetLoad
 import lagoonrudder.model.CustomerId
 import lagoonrudder.model.FleetId
 import lagoonrudder.model.Refusal
-import lagoonrudder.model.RepeatKey
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
 import lagoonrudder.model.VersionId
@@ -40,7 +40,7 @@
         timeLeft = 800.milliseconds,
         tokens = 120,
         priority = 3,
-        permit = RunPermit(RepeatKey("k"), 7),
+        permit = RunPermit(IdempotencyKey("k"), 7),
         work = Work.Generate("Describe our perry.", 64),
     )
 
@@ -54,7 +54,7 @@
         }
 
         test("every event survives the way there") {
-            val room = Room(8, 3, 500)
+            val load = TargetLoad(8, 3, 500)
             val refusals =
                 listOf(
                     Refusal.UnknownRoute,
@@ -67,7 +67,7 @@
                     Refusal.WrongVersion(500.milliseconds),
                 )
             val events =
-                refusals.map { RunEvent.NotRun(it, room) } +
+                refusals.map { RunEvent.NotRun(it, load) } +
                     RunEvent.Head(RequestId("r"), 1, VersionId("v"), 200, "text/plain") +
                     RunEvent.Head(RequestId("r"), 1, null, 404, "") +
                     RunEvent.End(12, 0xFFFFFFFFL, null)
--- a/wire/src/test/kotlin/lagoonrudder/wire/ObjectTextTest.kt
+++ b/wire/src/test/kotlin/lagoonrudder/wire/ObjectTextTest.kt
@@ -11,17 +11,17 @@
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.Revision
-import lagoonrudder.model.SealedSet
-import lagoonrudder.model.Service
+import lagoonrudder.model.ObjectSnapshot
+import lagoonrudder.model.AdminState
 import lagoonrudder.model.objectSet
 import lagoonrudder.wire.documents.readHead
 import lagoonrudder.wire.documents.readObjects
 import lagoonrudder.wire.documents.readParts
-import lagoonrudder.wire.documents.readWhole
+import lagoonrudder.wire.documents.readSet
 import lagoonrudder.wire.documents.seal
 import lagoonrudder.wire.documents.writeChanges
 import lagoonrudder.wire.documents.writeObjects
-import lagoonrudder.wire.documents.writeWhole
+import lagoonrudder.wire.documents.writeSet
 import kotlin.random.Random
 
 private val peer = Peer(PeerRole.PLATFORM, "test")
@@ -34,7 +34,7 @@
         region("ost", origin = true)
         region("west")
         link("ost", "west", 2_250_000)
-        domain("ost", service = if (out) Service.OUT else Service.IN)
+        domain("ost", service = if (out) AdminState.OUT else AdminState.IN)
         repeat(customers) { customer("customer-$it") }
         model("m")
         version("m-1", "m", bytes = 100, chunkBytes = 10)
@@ -87,35 +87,35 @@
         }
 
         test("a sealed document leads a reader without and with the set before to the same set") {
-            val before = SealedSet(Revision(3), objects())
-            val after = SealedSet(Revision(4), objects(customers = 5, out = true))
+            val before = ObjectSnapshot(Revision(3), objects())
+            val after = ObjectSnapshot(Revision(4), objects(customers = 5, out = true))
             val document = checkNotNull(seal(after, before, "objects.ini").getOrNull())
             val head = checkNotNull(readHead(document.head, peer).getOrNull())
             readParts(head, document.parts.associate { it.digest to it.text }, peer).getOrNull()?.digest shouldBe after.digest
             val changes = checkNotNull(head.changes)
             before.objects.plus(changes.changes).digest shouldBe after.digest
             readHead(writeChanges(changes), peer).getOrNull()?.changes shouldBe changes
-            readWhole(writeWhole(after), peer).getOrNull()?.digest shouldBe after.digest
+            readSet(writeSet(after), peer).getOrNull()?.digest shouldBe after.digest
         }
 
         test("a revision that does not rise is not sealed") {
-            val set = SealedSet(Revision(3), objects())
+            val set = ObjectSnapshot(Revision(3), objects())
             seal(set, set, "objects.ini").leftOrNull()?.detail.orEmpty() shouldContain "above 3"
         }
 
         test("a part with a wrong byte, a missing part and a whole set with a wrong byte are refused") {
-            val set = SealedSet(Revision(1), objects())
-            val document = checkNotNull(seal(set, SealedSet.EMPTY, "objects.ini").getOrNull())
+            val set = ObjectSnapshot(Revision(1), objects())
+            val document = checkNotNull(seal(set, ObjectSnapshot.EMPTY, "objects.ini").getOrNull())
             val head = checkNotNull(readHead(document.head, peer).getOrNull())
             val parts = document.parts.associate { it.digest to it.text }
             readParts(head, parts.mapValues { it.value.replace("customer-1", "customer-9") }, peer).isLeft() shouldBe true
             readParts(head, emptyMap(), peer).isLeft() shouldBe true
-            readWhole(writeWhole(set).replace("customer-1", "customer-9"), peer).isLeft() shouldBe true
+            readSet(writeSet(set).replace("customer-1", "customer-9"), peer).isLeft() shouldBe true
         }
 
         test("a large set is cut into parts under a megabyte") {
-            val set = SealedSet(Revision(1), objects(customers = 20_000))
-            val parts = checkNotNull(seal(set, SealedSet.EMPTY, "objects.ini").getOrNull()).parts
+            val set = ObjectSnapshot(Revision(1), objects(customers = 20_000))
+            val parts = checkNotNull(seal(set, ObjectSnapshot.EMPTY, "objects.ini").getOrNull()).parts
             (parts.size > 1) shouldBe true
             parts.all { it.text.length < 1_000_000 } shouldBe true
         }
