--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/WeightSimulation.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/WeightSimulation.kt
@@ -1,5 +1,5 @@
 /**
- * The spread of one version over many holders, with the real weight controllers over a model of links.
+ * Simulates the distribution of one version's weights to many replicas: the production weight controllers run over modelled links.
  */
 package lagoonrudder.standins.measure
 
@@ -7,10 +7,10 @@
 import lagoonrudder.control.ChunkSource
 import lagoonrudder.control.FetchDecision
 import lagoonrudder.control.FetchResult
+import lagoonrudder.control.WeightHolder
 import lagoonrudder.control.SourcePolicy
-import lagoonrudder.control.WeightFetchController
 import lagoonrudder.control.WeightFetchLimits
-import lagoonrudder.control.WeightHolder
+import lagoonrudder.control.WeightFetchController
 import lagoonrudder.model.ChunkIndex
 import lagoonrudder.model.DaemonId
 import lagoonrudder.model.Digest
@@ -28,32 +28,43 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-/** What goes wrong during a spread. */
-data class SpreadFaults(
-    val dying: Double = 0.0,
-    val corrupted: Double = 0.0,
-    val cutRegion: Boolean = false,
+/**
+ * The faults injected into a simulated distribution.
+ *
+ * [crashRate] is the probability that a replica crashes in the first half of the allowed time, [corruptionRate] the probability that a
+ * transferred chunk arrives damaged, and [isolateRegion] cuts off one region from the others from second 30 to second 90.
+ */
+data class DistributionFaults(
+    val crashRate: Double = 0.0,
+    val corruptionRate: Double = 0.0,
+    val isolateRegion: Boolean = false,
 )
 
-data class SpreadResult(
+/** What a simulated distribution achieved; figures in copies are multiples of the size of the weights. */
+data class DistributionResult(
     val readySeconds: Double,
     val ready: Int,
     val alive: Int,
     val originCopies: Double,
-    val busiestRegionLinkCopies: Double,
-    val busiestInstanceCopies: Double,
-    val damagedKept: Int,
+    val maxRegionLinkCopies: Double,
+    val maxInstanceLinkCopies: Double,
+    val corruptChunksKept: Int,
 )
 
-private const val CHUNKS = 200
-private val good = (0 until CHUNKS).map { byteArrayOf(it.toByte(), (it / 256).toByte()) }
-private val digests = good.map(::digestOf)
-private val wrong = Digest("0".repeat(64))
+private const val CHUNK_COUNT = 200
+private val chunkData = (0 until CHUNK_COUNT).map { byteArrayOf(it.toByte(), (it / 256).toByte()) }
+private val digests = chunkData.map(::digestOf)
+private val corruptDigest = Digest("0".repeat(64))
 
+/**
+ * A discrete-event simulation of one distribution of weights; times in seconds since its start.
+ *
+ * The same [seed] gives the same run. An instance supports one call of [run].
+ */
 class WeightSimulation(
     private val policy: SourcePolicy,
     private val rates: LinkRates,
-    private val faults: SpreadFaults,
+    private val faults: DistributionFaults,
     regions: Int,
     domains: Int,
     replicas: Int,
@@ -63,70 +74,70 @@
         val holder: WeightHolder,
         val controller: WeightFetchController,
     ) {
-        val up = Link(rates.instance)
-        val down = Link(rates.instance)
+        val uplink = Link(rates.instance)
+        val downlink = Link(rates.instance)
         var alive = true
         var readyAt = Double.NaN
         var pollAt = Double.POSITIVE_INFINITY
-        val has = BooleanArray(CHUNKS)
+        val held = BooleanArray(CHUNK_COUNT)
         val waiters = mutableMapOf<Int, MutableList<Waiter>>()
     }
 
     private class Waiter(
-        val draw: () -> Unit,
+        val fetch: () -> Unit,
         var open: Boolean = true,
     )
 
     private class Event(
-        val at: Double,
-        val order: Long,
+        val dueAt: Double,
+        val sequence: Long,
         val run: () -> Unit,
     )
 
     private val random = Random(seed)
-    private val events = PriorityQueue<Event>(compareBy<Event> { it.at }.thenBy { it.order })
-    private var order = 0L
+    private val events = PriorityQueue<Event>(compareBy<Event> { it.dueAt }.thenBy { it.sequence })
+    private var sequence = 0L
     private var now = 0.0
-    private val chunkBytes = rates.copyBytes / CHUNKS
+    private val chunkBytes = rates.copyBytes / CHUNK_COUNT
     private val originLink = Link(rates.origin)
     private val regionLinks = mutableMapOf<Pair<RegionId, RegionId>, Link>()
-    private val home = RegionId("r0")
-    private val cut = RegionId("r1")
+    private val originRegion = RegionId("r0")
+    private val isolated = RegionId("r1")
     private val objects = objectsOf(regions, domains)
     private val nodes = nodesOf(domains, replicas).associateBy { it.holder.daemon }
-    private var damagedKept = 0
+    private var corruptChunksKept = 0
 
-    fun run(): SpreadResult {
-        nodes.values.forEach { node -> at(random.nextDouble()) { poll(node) } }
-        nodes.values.filter { random.nextDouble() < faults.dying }.forEach { node ->
-            at(random.nextDouble(rates.allowedSeconds / 2)) {
+    fun run(): DistributionResult {
+        nodes.values.forEach { node -> schedule(random.nextDouble()) { poll(node) } }
+        nodes.values.filter { random.nextDouble() < faults.crashRate }.forEach { node ->
+            schedule(random.nextDouble(rates.allowedSeconds / 2)) {
                 node.alive =
                     false
             }
         }
-        while (events.isNotEmpty() && now < LONGEST_SECONDS) {
+        while (events.isNotEmpty() && now < MAX_SECONDS) {
             val event = events.remove()
-            now = event.at
+            now = event.dueAt
             event.run()
         }
         val alive = nodes.values.filter { it.alive }
         val ready = alive.filter { !it.readyAt.isNaN() }
-        return SpreadResult(
+        return DistributionResult(
             readySeconds = if (ready.size < alive.size) Double.POSITIVE_INFINITY else ready.maxOf { it.readyAt },
             ready = ready.size,
             alive = alive.size,
             originCopies = originLink.bytes / rates.copyBytes,
-            busiestRegionLinkCopies = (regionLinks.values.maxOfOrNull { it.bytes } ?: 0.0) / rates.copyBytes,
-            busiestInstanceCopies = nodes.values.maxOf { max(it.up.bytes, it.down.bytes) } / rates.copyBytes,
-            damagedKept = damagedKept,
+            maxRegionLinkCopies = (regionLinks.values.maxOfOrNull { it.bytes } ?: 0.0) / rates.copyBytes,
+            maxInstanceLinkCopies = nodes.values.maxOf { max(it.uplink.bytes, it.downlink.bytes) } / rates.copyBytes,
+            corruptChunksKept = corruptChunksKept,
         )
     }
 
-    private fun at(
+    private fun schedule(
         time: Double,
         run: () -> Unit,
     ) {
-        events += Event(time, order++, run)
+        events += Event(time, sequence++, run)
     }
 
     private fun time(): Duration = now.seconds
@@ -135,7 +146,7 @@
         if (!node.alive) return
         while (true) {
             when (val decision = node.controller.next(time())) {
-                is FetchDecision.Fetch -> draw(node, decision)
+                is FetchDecision.Fetch -> fetch(node, decision)
                 is FetchDecision.Wait -> return pollLater(node, decision.until.toDouble(DurationUnit.SECONDS))
                 FetchDecision.Busy -> return
                 FetchDecision.Complete -> {
@@ -150,13 +161,13 @@
         node: Node,
         until: Double,
     ) {
-        val wanted = max(until, now + SHORTEST_PAUSE)
-        if (node.pollAt in now..wanted && node.pollAt > now) return
-        node.pollAt = wanted
-        at(wanted) { poll(node) }
+        val pollTime = max(until, now + MIN_POLL_DELAY_SECONDS)
+        if (node.pollAt in now..pollTime && node.pollAt > now) return
+        node.pollAt = pollTime
+        schedule(pollTime) { poll(node) }
     }
 
-    private fun draw(
+    private fun fetch(
         node: Node,
         decision: FetchDecision.Fetch,
     ) {
@@ -164,23 +175,23 @@
             ChunkSource.Origin -> transfer(node, decision, null)
             is ChunkSource.Peer -> {
                 val from = nodes.getValue(source.holder.daemon)
-                if (!from.alive || isCut(node, from)) return endLater(node, decision, now + FAILURE_SECONDS) { FetchResult.Failed }
-                if (from.has[decision.chunk.number]) transfer(node, decision, from) else await(node, decision, from)
+                if (!from.alive || isIsolated(node, from)) return completeAt(node, decision, now + FAILURE_SECONDS) { FetchResult.Failed }
+                if (from.held[decision.chunk.number]) transfer(node, decision, from) else awaitChunk(node, decision, from)
             }
         }
     }
 
-    private fun await(
+    private fun awaitChunk(
         node: Node,
         decision: FetchDecision.Fetch,
         from: Node,
     ) {
         val waiter = Waiter({ transfer(node, decision, from) })
         from.waiters.getOrPut(decision.chunk.number) { mutableListOf() } += waiter
-        at(now + PEER_WAIT_SECONDS) {
+        schedule(now + PEER_WAIT_SECONDS) {
             if (waiter.open) {
                 waiter.open = false
-                end(node, decision, if (from.alive) FetchResult.NotYet else FetchResult.Failed)
+                complete(node, decision, if (from.alive) FetchResult.NotYet else FetchResult.Failed)
             }
         }
     }
@@ -190,66 +201,66 @@
         decision: FetchDecision.Fetch,
         from: Node?,
     ) {
-        val sourceLink = from?.up ?: originLink
-        var done = max(sourceLink.send(chunkBytes, now), node.down.send(chunkBytes, now))
-        val region = from?.holder?.region ?: home
+        val sourceLink = from?.uplink ?: originLink
+        var finishedAt = max(sourceLink.send(chunkBytes, now), node.downlink.send(chunkBytes, now))
+        val region = from?.holder?.region ?: originRegion
         if (region != node.holder.region) {
             val link = regionLinks.getOrPut(region to node.holder.region) { Link(rates.region) }
-            done = max(done, link.send(chunkBytes, now))
+            finishedAt = max(finishedAt, link.send(chunkBytes, now))
         }
-        endLater(node, decision, done) {
+        completeAt(node, decision, finishedAt) {
             if (from != null &&
-                (!from.alive || isCut(node, from))
+                (!from.alive || isIsolated(node, from))
             ) {
                 FetchResult.Failed
             } else {
-                arrived(decision.chunk)
+                receivedChunk(decision.chunk)
             }
         }
     }
 
-    private fun arrived(chunk: ChunkIndex): FetchResult {
-        val corrupted = random.nextDouble() < faults.corrupted
-        return FetchResult.Received(if (corrupted) wrong else digests[chunk.number], good[chunk.number])
+    private fun receivedChunk(chunk: ChunkIndex): FetchResult {
+        val isCorrupt = random.nextDouble() < faults.corruptionRate
+        return FetchResult.Received(if (isCorrupt) corruptDigest else digests[chunk.number], chunkData[chunk.number])
     }
 
-    private fun endLater(
+    private fun completeAt(
         node: Node,
         decision: FetchDecision.Fetch,
         time: Double,
         result: () -> FetchResult,
-    ) = at(time) { end(node, decision, result()) }
+    ) = schedule(time) { complete(node, decision, result()) }
 
-    private fun end(
+    private fun complete(
         node: Node,
         decision: FetchDecision.Fetch,
         result: FetchResult,
     ) {
         if (!node.alive) return
-        val judged = node.controller.onFetchEnded(decision.version, decision.chunk, decision.source, result, time())
-        if (judged is ChunkDecision.Keep) keep(node, decision.chunk, result)
+        val outcome = node.controller.onFetchEnded(decision.version, decision.chunk, decision.source, result, time())
+        if (outcome is ChunkDecision.Keep) storeChunk(node, decision.chunk, result)
         poll(node)
     }
 
-    private fun keep(
+    private fun storeChunk(
         node: Node,
         chunk: ChunkIndex,
         result: FetchResult,
     ) {
-        if (result is FetchResult.Received && result.digest == wrong) damagedKept++
-        node.has[chunk.number] = true
+        if (result is FetchResult.Received && result.digest == corruptDigest) corruptChunksKept++
+        node.held[chunk.number] = true
         node.waiters.remove(chunk.number)?.filter { it.open }?.forEach {
             it.open = false
-            it.draw()
+            it.fetch()
         }
     }
 
-    private fun isCut(
+    private fun isIsolated(
         one: Node,
         other: Node,
     ): Boolean {
-        val crosses = one.holder.region != other.holder.region && (one.holder.region == cut || other.holder.region == cut)
-        return faults.cutRegion && crosses && now in CUT_FROM_SECONDS..CUT_TO_SECONDS
+        val crosses = one.holder.region != other.holder.region && (one.holder.region == isolated || other.holder.region == isolated)
+        return faults.isolateRegion && crosses && now in ISOLATION_START_SECONDS..ISOLATION_END_SECONDS
     }
 
     private fun objectsOf(
@@ -285,11 +296,11 @@
     }
 
     private companion object {
-        const val LONGEST_SECONDS = 100_000.0
-        const val SHORTEST_PAUSE = 0.005
+        const val MAX_SECONDS = 100_000.0
+        const val MIN_POLL_DELAY_SECONDS = 0.005
         const val FAILURE_SECONDS = 1.0
         const val PEER_WAIT_SECONDS = 2.0
-        const val CUT_FROM_SECONDS = 30.0
-        const val CUT_TO_SECONDS = 90.0
+        const val ISOLATION_START_SECONDS = 30.0
+        const val ISOLATION_END_SECONDS = 90.0
     }
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualBackEnd.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualBackEnd.kt
@@ -1,5 +1,5 @@
 /**
- * A back end in virtual time: an engine that warms up, slows down and falls over, or a plain service that counts its runs.
+ * A back end in virtual time: an engine that warms up, slows down under load and crashes when overloaded, or a plain service.
  */
 package lagoonrudder.standins.virtual
 
@@ -30,59 +30,64 @@
 import lagoonrudder.standins.TOKEN_LENGTH
 import lagoonrudder.standins.tokenAt
 import lagoonrudder.traffic.Work
+import lagoonrudder.traffic.target.LocalBackEnd
 import lagoonrudder.traffic.target.EngineEvent
 import lagoonrudder.traffic.target.GenerateRequest
-import lagoonrudder.traffic.target.LocalBackEnd
 import java.util.zip.CRC32C
 import kotlin.math.roundToLong
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
+/**
+ * A fake back end that serves [version] with the timing of [traits].
+ *
+ * Text is a pure function of the version, the prompt and the offset, so that callers can verify it.
+ */
 class VirtualBackEnd(
     private val traits: EngineTraits,
     private val clock: Clock,
     private var version: VersionId?,
 ) : LocalBackEnd {
     private val load = EngineLoad(traits)
-    private var startedAt = -traits.warmUp
+    private var readyAt = -traits.warmUp
     private var downUntil = -Duration.INFINITE
-    private var life = 0
+    private var incarnation = 0
 
-    /** How often each body of a plain call ran. */
+    /** The number of executions of each body of a plain call. */
     val runs = mutableMapOf<String, Int>()
     var crashes = 0
         private set
-    var mostRequests = 0
+    var maxConcurrentRequests = 0
         private set
 
-    /** Whether answers stop where they are. */
-    var silent = false
+    /** Whether generated responses stall; they continue when it is reset. */
+    var stalled = false
 
-    /** Whether the end of the next plain call is lost after it ran. */
-    var losesNextAnswer = false
+    /** Whether the response to the next plain call is lost after the call was executed. */
+    var dropNextResponse = false
 
-    /** Starts anew, cold. */
+    /** Restarts the engine cold with [serving]; it is down for the down time of its traits. */
     fun restart(serving: VersionId? = version) {
-        life++
+        incarnation++
         version = serving
-        startedAt = clock.elapsed() + traits.downTime
-        downUntil = startedAt
+        readyAt = clock.elapsed() + traits.downTime
+        downUntil = readyAt
     }
 
-    /** Serves [next] from now on, as if ordered by someone else. */
+    /** Switches to [next] without an order from the target daemon. */
     fun serve(next: VersionId) {
         version = next
     }
 
     override fun generate(request: GenerateRequest): Flow<Either<Failure, EngineEvent>> =
         flow {
-            val served = version
-            if (clock.elapsed() < downUntil) return@flow emit(Failure.Unreachable(Step.RUN, PEER, "down").left())
-            if (served == null) return@flow emit(Failure.Declined(Step.RUN, PEER, "nothing loaded").left())
+            val servedVersion = version
+            if (clock.elapsed() < downUntil) return@flow emit(Failure.Unreachable(Step.RUN, PEER, "engine is down").left())
+            if (servedVersion == null) return@flow emit(Failure.Declined(Step.RUN, PEER, "no version loaded").left())
             val tokens = request.work.maximumTokens + request.work.prompt.length / TOKEN_LENGTH + 1L
             admit(tokens)
             try {
-                answer(request, served, life)
+                respond(request, servedVersion, incarnation)
             } finally {
                 load.release(tokens)
             }
@@ -93,19 +98,19 @@
         request: RequestId,
         limit: Duration,
     ): Either<Failure, RecordedResponse> {
-        if (clock.elapsed() < downUntil) return Failure.Unreachable(Step.RUN, PEER, "down").left()
+        if (clock.elapsed() < downUntil) return Failure.Unreachable(Step.RUN, PEER, "engine is down").left()
         val body = work.body.decodeToString()
         runs.merge(body, 1, Int::plus)
-        delay(PLAIN_TIME)
-        if (losesNextAnswer) {
-            losesNextAnswer = false
-            return Failure.Interrupted(Step.RUN, PEER, "the answer was lost").left()
+        delay(PLAIN_CALL_TIME)
+        if (dropNextResponse) {
+            dropNextResponse = false
+            return Failure.Interrupted(Step.RUN, PEER, "response lost").left()
         }
-        return RecordedResponse(OK, "text/plain", "done $body".encodeToByteArray()).right()
+        return RecordedResponse(STATUS_OK, "text/plain", "done $body".encodeToByteArray()).right()
     }
 
     override suspend fun state(limit: Duration): Either<Failure, EngineState> =
-        if (clock.elapsed() < downUntil) Failure.Unreachable(Step.ORDER_ENGINE, PEER, "down").left() else engineState().right()
+        if (clock.elapsed() < downUntil) Failure.Unreachable(Step.ORDER_ENGINE, PEER, "engine is down").left() else engineState().right()
 
     override suspend fun order(
         order: EngineOrder,
@@ -119,48 +124,48 @@
         limit: Duration,
     ): Either<Failure, Unit> = Unit.right()
 
-    fun engineState() = EngineState(IncarnationId("life-$life"), version, EngineRole.SERVE, FencingNumber(1), false, 0)
+    fun engineState() = EngineState(IncarnationId("engine-$incarnation"), version, EngineRole.SERVE, FencingNumber(1), false, 0)
 
     private fun admit(tokens: Long) {
-        val stands = load.admit(tokens, age())
-        mostRequests = maxOf(mostRequests, load.requests())
-        if (stands) return
+        val survived = load.admit(tokens, uptime())
+        maxConcurrentRequests = maxOf(maxConcurrentRequests, load.requests())
+        if (survived) return
         crashes++
         restart()
     }
 
-    private suspend fun FlowCollector<Either<Failure, EngineEvent>>.answer(
+    private suspend fun FlowCollector<Either<Failure, EngineEvent>>.respond(
         request: GenerateRequest,
-        served: VersionId,
-        own: Int,
+        servedVersion: VersionId,
+        startIncarnation: Int,
     ) {
-        emit(EngineEvent.Started(IncarnationId("life-$own"), served).right())
-        pause(traits.firstTokenDelay)
-        val sum = CRC32C()
+        emit(EngineEvent.Started(IncarnationId("engine-$startIncarnation"), servedVersion).right())
+        delayUnderLoad(traits.firstTokenDelay)
+        val checksum = CRC32C()
         var offset = request.offset
-        val length = request.work.maximumTokens.toLong() * TOKEN_LENGTH
-        while (offset < length) {
-            while (silent) delay(SILENCE_CHECK)
-            if (own != life) return emit(Failure.Interrupted(Step.RUN, PEER, "the engine fell over").left())
-            val piece = tokenAt(served.text, request.work.prompt, offset).encodeToByteArray()
-            sum.update(piece)
-            emit(EngineEvent.Text(offset, piece).right())
-            offset += piece.size
-            pause(traits.tokenInterval)
+        val responseLength = request.work.maximumTokens.toLong() * TOKEN_LENGTH
+        while (offset < responseLength) {
+            while (stalled) delay(STALL_POLL_INTERVAL)
+            if (startIncarnation != incarnation) return emit(Failure.Interrupted(Step.RUN, PEER, "engine crashed").left())
+            val token = tokenAt(servedVersion.text, request.work.prompt, offset).encodeToByteArray()
+            checksum.update(token)
+            emit(EngineEvent.Text(offset, token).right())
+            offset += token.size
+            delayUnderLoad(traits.tokenInterval)
         }
-        emit(EngineEvent.Ended(version ?: served, length, sum.value).right())
+        emit(EngineEvent.Ended(version ?: servedVersion, responseLength, checksum.value).right())
     }
 
-    private suspend fun pause(alone: Duration) =
-        delay((alone.inWholeMicroseconds * load.slowdown(age()) / MICROSECONDS).roundToLong().milliseconds)
+    private suspend fun delayUnderLoad(unloaded: Duration) =
+        delay((unloaded.inWholeMicroseconds * load.slowdown(uptime()) / MICROSECONDS_PER_MILLISECOND).roundToLong().milliseconds)
 
-    private fun age() = clock.elapsed() - startedAt
+    private fun uptime() = clock.elapsed() - readyAt
 
     private companion object {
         val PEER = Peer(PeerRole.ENGINE, "virtual")
-        val PLAIN_TIME = 5.milliseconds
-        val SILENCE_CHECK = 50.milliseconds
-        const val OK = 200
-        const val MICROSECONDS = 1_000
+        val PLAIN_CALL_TIME = 5.milliseconds
+        val STALL_POLL_INTERVAL = 50.milliseconds
+        const val STATUS_OK = 200
+        const val MICROSECONDS_PER_MILLISECOND = 1_000
     }
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualCaller.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualCaller.kt
@@ -1,28 +1,28 @@
 /**
- * A caller in virtual time that checks its answer.
+ * Calls to a simulated site that verify the response.
  */
 package lagoonrudder.standins.virtual
 
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.withTimeoutOrNull
 import lagoonrudder.model.Failure
-import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.Outcome
+import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.VersionId
 import lagoonrudder.standins.Reply
 import lagoonrudder.standins.TextCall
 import lagoonrudder.standins.expectedText
-import lagoonrudder.traffic.entry.CallerRequest
 import lagoonrudder.traffic.entry.ResponseSink
+import lagoonrudder.traffic.entry.CallerRequest
 import kotlin.time.Duration
 
-/** Collects an answer; each write takes [readDelay], as a slow reader would. */
-class VirtualSink(
+/** Records a response; each write is delayed by [readDelay], as with a slow reader. */
+class RecordingSink(
     private val clock: VirtualClock,
     private val readDelay: Duration,
 ) : ResponseSink {
     private val bytes = StringBuilder()
-    val times = mutableListOf<Duration>()
+    val writeTimes = mutableListOf<Duration>()
     var version: VersionId? = null
         private set
     var started = false
@@ -45,7 +45,7 @@
 
     override suspend fun write(data: ByteArray) {
         bytes.append(data.decodeToString())
-        times += clock.elapsed()
+        writeTimes += clock.elapsed()
         if (readDelay > Duration.ZERO) delay(readDelay)
     }
 
@@ -61,64 +61,64 @@
     }
 }
 
-/** Asks [entry] for text and judges the answer. */
-suspend fun VirtualSite.askText(
+/** Requests generated text from [entry] and verifies the response. */
+suspend fun VirtualSite.fetchText(
     entry: VirtualEntry,
     call: TextCall,
 ): Reply {
-    val sink = VirtualSink(clock, call.readDelay)
-    val started = clock.elapsed()
+    val sink = RecordingSink(clock, call.readDelay)
+    val startedAt = clock.elapsed()
     val body = "{\"prompt\":\"${call.prompt}\",\"max_tokens\":${call.tokens}}".encodeToByteArray()
     val request = CallerRequest("POST", call.path, call.token, null, "application/json", body)
-    val outcome = withTimeoutOrNull(call.limit) { entry.call(request, sink) } ?: return Reply.Broken("no end within ${call.limit}")
-    val took = clock.elapsed() - started
-    return judge(outcome, sink, started, took) { expectedText(sink.version?.text.orEmpty(), call.prompt, call.tokens) }
+    val outcome = withTimeoutOrNull(call.limit) { entry.call(request, sink) } ?: return Reply.Broken("no outcome within ${call.limit}")
+    val total = clock.elapsed() - startedAt
+    return verify(outcome, sink, startedAt, total) { expectedText(sink.version?.text.orEmpty(), call.prompt, call.tokens) }
 }
 
-/** Sends an order that may run at most once. */
+/** Sends an order, a call that must be executed at most once, and verifies the response. */
 suspend fun VirtualSite.sendOrder(
     entry: VirtualEntry,
     path: String,
     token: String,
     key: IdempotencyKey,
     body: String,
-    limit: Duration,
+    timeout: Duration,
 ): Reply {
-    val sink = VirtualSink(clock, Duration.ZERO)
-    val started = clock.elapsed()
+    val sink = RecordingSink(clock, Duration.ZERO)
+    val startedAt = clock.elapsed()
     val request = CallerRequest("POST", path, token, key, "text/plain", body.encodeToByteArray())
-    val outcome = withTimeoutOrNull(limit) { entry.call(request, sink) } ?: return Reply.Broken("no end within $limit")
-    return judge(outcome, sink, started, clock.elapsed() - started) { "done $body" }
+    val outcome = withTimeoutOrNull(timeout) { entry.call(request, sink) } ?: return Reply.Broken("no outcome within $timeout")
+    return verify(outcome, sink, startedAt, clock.elapsed() - startedAt) { "done $body" }
 }
 
-private fun judge(
+private fun verify(
     outcome: Outcome,
-    sink: VirtualSink,
-    started: Duration,
-    took: Duration,
+    sink: RecordingSink,
+    startedAt: Duration,
+    total: Duration,
     expected: () -> String,
 ): Reply =
     when (outcome) {
         is Outcome.Completed -> {
-            val right = sink.finished && sink.text == expected()
-            val first = (sink.times.firstOrNull() ?: started) - started
-            val gaps = sink.times.zipWithNext { one, two -> two - one }
-            if (right) {
+            val correct = sink.finished && sink.text == expected()
+            val firstByte = (sink.writeTimes.firstOrNull() ?: startedAt) - startedAt
+            val gaps = sink.writeTimes.zipWithNext { previous, next -> next - previous }
+            if (correct) {
                 Reply.Complete(
                     sink.text,
                     sink.version?.text.orEmpty(),
-                    first,
-                    took,
+                    firstByte,
+                    total,
                     gaps,
                 )
             } else {
-                Reply.Wrong("length ${sink.text.length}")
+                Reply.Wrong("unexpected text of length ${sink.text.length}")
             }
         }
         is Outcome.Refused -> {
             val clean = !sink.started && !sink.finished
-            if (clean) Reply.NotRun(outcome.refusal.code, took, outcome.refusal.retryAfter) else Reply.Wrong("refused after a start")
+            if (clean) Reply.NotRun(outcome.refusal.code, total, outcome.refusal.retryAfter) else Reply.Wrong("refused mid-response")
         }
         is Outcome.Unknown -> Reply.Unknown(outcome.failure.describe())
-        is Outcome.Broken -> if (sink.finished) Reply.Wrong("broken after its end") else Reply.Broken(outcome.failure.describe())
+        is Outcome.Broken -> if (sink.finished) Reply.Wrong("broken after completion") else Reply.Broken(outcome.failure.describe())
     }
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/RandomRunsTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/RandomRunsTest.kt
@@ -12,8 +12,8 @@
 import lagoonrudder.control.IdempotencyDecision
 import lagoonrudder.model.Failure
 import lagoonrudder.model.Instance
-import lagoonrudder.standins.measure.runOnce
-import lagoonrudder.standins.measure.runRandom
+import lagoonrudder.standins.measure.runAtMostOnce
+import lagoonrudder.standins.measure.runRandomFaults
 import lagoonrudder.traffic.ReserveRequest
 import lagoonrudder.traffic.RunEvent
 import lagoonrudder.traffic.RunRequest
@@ -68,25 +68,25 @@
     FunSpec({
         for (seed in seeds) {
             test("random runs with faults violate no invariant, seed $seed") {
-                val result = runRandom(seed, STEPS)
-                result.problems.shouldBeEmpty()
-                result.ends.count { it is Reply.Complete } shouldBeGreaterThan 500
+                val result = runRandomFaults(seed, STEPS)
+                result.failures.shouldBeEmpty()
+                result.responses.count { it is Reply.Complete } shouldBeGreaterThan 500
             }
         }
 
         for (seed in seeds) {
             test("orders under faults run at most once and are never falsely reported as not run, seed $seed") {
-                val result = runOnce(seed, 40)
+                val result = runAtMostOnce(seed, 40)
                 listOf(result.doubleRuns, result.falseNotRuns, result.wrong, result.violations) shouldBe listOf(0, 0, 0, 0)
                 result.count { it is Reply.Complete } shouldBeGreaterThan 300
             }
         }
 
         test("random runs detect a client that does not verify responses") {
-            seeds.flatMap { runRandom(it, STEPS) { link = ::UnverifiedClient }.problems }.shouldNotBeEmpty()
+            seeds.flatMap { runRandomFaults(it, STEPS) { client = ::UnverifiedClient }.failures }.shouldNotBeEmpty()
         }
 
         test("runs with faults detect false reports of requests that did not run") {
-            seeds.sumOf { runOnce(it, 40) { link = ::FalseNotRunClient }.falseNotRuns } shouldBeGreaterThan 0
+            seeds.sumOf { runAtMostOnce(it, 40) { client = ::FalseNotRunClient }.falseNotRuns } shouldBeGreaterThan 0
         }
     })
