--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ControlMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ControlMeasure.kt
@@ -6,20 +6,20 @@
 import arrow.core.getOrElse
 import lagoonrudder.control.AdmissionController
 import lagoonrudder.control.CheckedSet
-import lagoonrudder.control.LoadBalancingPolicy
 import lagoonrudder.control.ConfigurationController
 import lagoonrudder.control.DispatchController
 import lagoonrudder.control.DispatchResult
-import lagoonrudder.control.RoutingRequest
+import lagoonrudder.control.DisseminationController
+import lagoonrudder.control.DisseminationPolicy
+import lagoonrudder.control.LoadBalancingPolicy
 import lagoonrudder.control.QueueBounds
 import lagoonrudder.control.QueueKey
 import lagoonrudder.control.QueuePolicy
-import lagoonrudder.control.TargetLoad
+import lagoonrudder.control.QueuedRequest
 import lagoonrudder.control.RoutingController
-import lagoonrudder.control.DisseminationController
-import lagoonrudder.control.DisseminationPolicy
+import lagoonrudder.control.RoutingRequest
+import lagoonrudder.control.TargetLoad
 import lagoonrudder.control.TargetReport
-import lagoonrudder.control.QueuedRequest
 import lagoonrudder.control.startsFrom
 import lagoonrudder.model.CustomerId
 import lagoonrudder.model.DaemonId
@@ -29,13 +29,13 @@
 import lagoonrudder.model.Invariants
 import lagoonrudder.model.ObjectChanges
 import lagoonrudder.model.ObjectSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Peer
 import lagoonrudder.model.PeerRole
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
 import lagoonrudder.model.SnapshotDelta
-import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.objectSet
 import lagoonrudder.wire.documents.writeChanges
@@ -91,7 +91,10 @@
     val admission = AdmissionController(QueuePolicy.WeightedFair, QueueBounds(), invariants)
     val dispatch = DispatchController(admission, routing)
     for (target in routing.subset()) {
-        routing.onTargetReport(TargetReport(target.id, IncarnationId("i"), TargetLoad(64, 0, 1_000_000), VersionId("m-1"), true), Duration.ZERO)
+        routing.onTargetReport(
+            TargetReport(target.id, IncarnationId("i"), TargetLoad(64, 0, 1_000_000), VersionId("m-1"), true),
+            Duration.ZERO,
+        )
     }
     repeat(WARM_UP) { processRequest(dispatch, routing, it) }
     val elapsed = measureTime { repeat(REQUESTS) { processRequest(dispatch, routing, it) } }
@@ -121,7 +124,9 @@
     val objects = configurationOf(targets)
     val routing = RoutingController("entry-1", DomainId("d0"), LoadBalancingPolicy.FreshRoom(), Random(1))
     val memoryBefore = usedMemory()
-    controller.offer(CheckedSet.ofFullSet(ObjectSnapshot(Revision(1), objects), controller.current, peer).getOrElse { error(it.describe()) })
+    controller.offer(
+        CheckedSet.ofFullSet(ObjectSnapshot(Revision(1), objects), controller.current, peer).getOrElse { error(it.describe()) },
+    )
     var checkTime = Duration.ZERO
     var applyTime = Duration.ZERO
     var bytes = 0
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/OnceMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/OnceMeasure.kt
@@ -7,9 +7,9 @@
 
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import lagoonrudder.model.ObjectSet
-import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.AdminState
+import lagoonrudder.model.IdempotencyKey
+import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.objectSet
 import lagoonrudder.standins.Reply
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/RandomMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/RandomMeasure.kt
@@ -6,13 +6,13 @@
 
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import lagoonrudder.model.ObjectSet
-import lagoonrudder.model.IdempotencyKey
 import lagoonrudder.model.AdminState
+import lagoonrudder.model.IdempotencyKey
+import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.objectSet
-import lagoonrudder.standins.Reply
 import lagoonrudder.standins.EngineTraits
+import lagoonrudder.standins.Reply
 import lagoonrudder.standins.TextCall
 import lagoonrudder.standins.uuidV7At
 import lagoonrudder.standins.virtual.RandomFaultInjector
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ReaderMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/ReaderMeasure.kt
@@ -10,8 +10,8 @@
 import lagoonrudder.control.ResponseBufferPolicy
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.objectSet
-import lagoonrudder.standins.Reply
 import lagoonrudder.standins.EngineTraits
+import lagoonrudder.standins.Reply
 import lagoonrudder.standins.TextCall
 import lagoonrudder.standins.percentile
 import lagoonrudder.standins.virtual.VirtualSite
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/TrafficMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/TrafficMeasure.kt
@@ -5,14 +5,14 @@
 
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import lagoonrudder.control.LoadBalancingPolicy
 import lagoonrudder.control.LimitPolicy
+import lagoonrudder.control.LoadBalancingPolicy
 import lagoonrudder.control.QueuePolicy
 import lagoonrudder.control.ResponseBufferPolicy
 import lagoonrudder.model.ObjectSet
 import lagoonrudder.model.objectSet
-import lagoonrudder.standins.Reply
 import lagoonrudder.standins.EngineTraits
+import lagoonrudder.standins.Reply
 import lagoonrudder.standins.TextCall
 import lagoonrudder.standins.percentile
 import lagoonrudder.standins.virtual.VirtualOptions
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/WeightSimulation.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/WeightSimulation.kt
@@ -7,10 +7,10 @@
 import lagoonrudder.control.ChunkSource
 import lagoonrudder.control.FetchDecision
 import lagoonrudder.control.FetchResult
-import lagoonrudder.control.WeightHolder
 import lagoonrudder.control.SourcePolicy
-import lagoonrudder.control.WeightFetchLimits
 import lagoonrudder.control.WeightFetchController
+import lagoonrudder.control.WeightFetchLimits
+import lagoonrudder.control.WeightHolder
 import lagoonrudder.model.ChunkIndex
 import lagoonrudder.model.DaemonId
 import lagoonrudder.model.Digest
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualBackEnd.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualBackEnd.kt
@@ -30,9 +30,9 @@
 import lagoonrudder.standins.TOKEN_LENGTH
 import lagoonrudder.standins.tokenAt
 import lagoonrudder.traffic.Work
-import lagoonrudder.traffic.target.LocalBackEnd
 import lagoonrudder.traffic.target.EngineEvent
 import lagoonrudder.traffic.target.GenerateRequest
+import lagoonrudder.traffic.target.LocalBackEnd
 import java.util.zip.CRC32C
 import kotlin.math.roundToLong
 import kotlin.time.Duration
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualCaller.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualCaller.kt
@@ -6,14 +6,14 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.withTimeoutOrNull
 import lagoonrudder.model.Failure
-import lagoonrudder.model.Outcome
 import lagoonrudder.model.IdempotencyKey
+import lagoonrudder.model.Outcome
 import lagoonrudder.model.VersionId
 import lagoonrudder.standins.Reply
 import lagoonrudder.standins.TextCall
 import lagoonrudder.standins.expectedText
-import lagoonrudder.traffic.entry.ResponseSink
 import lagoonrudder.traffic.entry.CallerRequest
+import lagoonrudder.traffic.entry.ResponseSink
 import kotlin.time.Duration
 
 /** Records a response; each write is delayed by [readDelay], as with a slow reader. */
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
@@ -18,26 +18,26 @@
 import kotlinx.coroutines.test.TestCoroutineScheduler
 import lagoonrudder.control.AdmissionController
 import lagoonrudder.control.CheckedSet
-import lagoonrudder.control.LoadBalancingPolicy
+import lagoonrudder.control.ConcurrencyLimitController
 import lagoonrudder.control.ConfigurationController
 import lagoonrudder.control.ControlThread
-import lagoonrudder.control.WeightHolder
-import lagoonrudder.control.ConcurrencyLimitController
+import lagoonrudder.control.IdempotencyController
+import lagoonrudder.control.IdempotencyPolicy
 import lagoonrudder.control.LimitPolicy
+import lagoonrudder.control.LoadBalancingPolicy
 import lagoonrudder.control.MembershipController
 import lagoonrudder.control.QueueBounds
 import lagoonrudder.control.QueuePolicy
 import lagoonrudder.control.ResponseBufferController
 import lagoonrudder.control.ResponseBufferPolicy
-import lagoonrudder.control.IdempotencyController
-import lagoonrudder.control.IdempotencyPolicy
 import lagoonrudder.control.RetryBudget
 import lagoonrudder.control.RoutingController
 import lagoonrudder.control.ServingController
 import lagoonrudder.control.SourcePolicy
 import lagoonrudder.control.VersionSwitchController
-import lagoonrudder.control.WeightFetchLimits
 import lagoonrudder.control.WeightFetchController
+import lagoonrudder.control.WeightFetchLimits
+import lagoonrudder.control.WeightHolder
 import lagoonrudder.daemon.front.CompletionDecoder
 import lagoonrudder.model.Address
 import lagoonrudder.model.Clock
@@ -48,6 +48,7 @@
 import lagoonrudder.model.Instance
 import lagoonrudder.model.Invariants
 import lagoonrudder.model.ObjectSet
+import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.OperatorObject
 import lagoonrudder.model.Outcome
 import lagoonrudder.model.Peer
@@ -55,7 +56,6 @@
 import lagoonrudder.model.RegionId
 import lagoonrudder.model.RequestId
 import lagoonrudder.model.Revision
-import lagoonrudder.model.ObjectSnapshot
 import lagoonrudder.model.TargetId
 import lagoonrudder.model.VersionId
 import lagoonrudder.model.Violation
@@ -65,12 +65,12 @@
 import lagoonrudder.traffic.TargetClient
 import lagoonrudder.traffic.entry.AccountingFilter
 import lagoonrudder.traffic.entry.AdmissionFilter
-import lagoonrudder.traffic.entry.ResponseSink
 import lagoonrudder.traffic.entry.CallerRequest
 import lagoonrudder.traffic.entry.EntryCall
 import lagoonrudder.traffic.entry.EntryControl
 import lagoonrudder.traffic.entry.IdentifyFilter
 import lagoonrudder.traffic.entry.RelayFilter
+import lagoonrudder.traffic.entry.ResponseSink
 import lagoonrudder.traffic.entry.SendFilter
 import lagoonrudder.traffic.entry.SendLimits
 import lagoonrudder.traffic.entry.entryFilters
@@ -338,7 +338,7 @@
     ) {
         val source = targets[target]
         if (source == null || !source.reachable || !entry.reachable) return entry.control.onDisconnected(target)
-        entry.control.reported(source.control.reported.value)
+        entry.control.onTargetReport(source.control.reported.value)
     }
 
     private suspend fun tickLoop(entry: VirtualEntry) {
