--- a/daemon/src/main/kotlin/lagoonrudder/daemon/DaemonCore.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/DaemonCore.kt
@@ -42,7 +42,7 @@
     val thread = ControlThread.start(settings.name.text, clock, invariants)
     val configuration = ConfigurationController(invariants)
     val membership = MembershipController(settings.name)
-    val spread = DisseminationController(settings.name, options.spread, random)
+    val dissemination = DisseminationController(settings.name, options.dissemination, random)
     val service = ServingController(settings.domain, settings.slot?.target)
     val metrics = DaemonMetrics(thread, invariants)
     val rpc = RpcClient()
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/DaemonOptions.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/DaemonOptions.kt
@@ -24,17 +24,17 @@
 class DaemonOptions {
     var clock: Clock = SystemClock()
     var seed: Long = System.nanoTime()
-    var choice: LoadBalancingPolicy = LoadBalancingPolicy.FreshRoom()
+    var loadBalancing: LoadBalancingPolicy = LoadBalancingPolicy.FreshRoom()
     var queue: QueuePolicy = QueuePolicy.WeightedFair
     var limit: LimitPolicy = LimitPolicy.Adaptive()
     var sources: SourcePolicy = SourcePolicy.Striped
-    var spread: DisseminationPolicy = DisseminationPolicy.Tree()
-    var repeats: IdempotencyPolicy = IdempotencyPolicy()
+    var dissemination: DisseminationPolicy = DisseminationPolicy.Tree()
+    var idempotency: IdempotencyPolicy = IdempotencyPolicy()
     var send: SendLimits = SendLimits()
     var engine: EngineLimits = EngineLimits()
 
     /** Overrides the policy in the settings when it is not null. */
-    var readers: ResponseBufferPolicy? = null
+    var responseBuffers: ResponseBufferPolicy? = null
 
     /** A client to share between daemons of one process; each daemon creates its own when this is null. */
     var http: HttpClient? = null
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationSyncLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationSyncLoop.kt
@@ -181,7 +181,7 @@
     }
 
     private suspend fun isWatcher(): Boolean =
-        core.thread.decide { core.spread.shouldWatch(core.membership.liveDaemons(domain, core.clock.elapsed())) }
+        core.thread.decide { core.dissemination.shouldWatch(core.membership.liveDaemons(domain, core.clock.elapsed())) }
 
     private suspend fun readHeadFromPlatform(timeout: Duration) {
         core.platform.head(timeout).fold({ core.log.failure("configuration-read-failed", it) }) { value ->
@@ -296,7 +296,7 @@
     private suspend fun forward(outcome: ConfigurationOutcome.Accepted) {
         val children =
             core.thread.decide {
-                core.spread
+                core.dissemination
                     .children(outcome.set.revision, core.membership.liveDaemons(domain, core.clock.elapsed()))
                     .mapNotNull(core.membership::instance)
             }
@@ -342,7 +342,7 @@
 
     private fun peerOfOwnDomain(): Instance? {
         val liveDaemons = core.membership.liveDaemons(domain, core.clock.elapsed())
-        return core.spread.exchangePeer(liveDaemons)?.let(core.membership::instance)
+        return core.dissemination.exchangePeer(liveDaemons)?.let(core.membership::instance)
     }
 
     private fun peerOfOtherDomain(): Instance? =
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerEndpoint.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/PeerEndpoint.kt
@@ -17,11 +17,11 @@
 import lagoonrudder.wire.messages.ManifestMessage
 import lagoonrudder.wire.messages.decodeMessage
 import lagoonrudder.wire.messages.encodeMessage
+import lagoonrudder.wire.messages.toGossipSlot
 import lagoonrudder.wire.messages.toLoads
 import lagoonrudder.wire.messages.toMessage
 import lagoonrudder.wire.messages.toMessages
 import lagoonrudder.wire.messages.toPeer
-import lagoonrudder.wire.messages.toSlotWord
 
 class PeerEndpoint(
     private val core: DirectCore,
@@ -59,7 +59,7 @@
     private fun replyTo(message: GossipMessage): GossipReply {
         val now = core.clock.elapsed()
         core.peers.onGossipReceived(message.self.toPeer(), message.loads.toLoads(), now)
-        val slot = message.slot?.toSlotWord()
+        val slot = message.slot?.toGossipSlot()
         if (slot != null && core.slots.onGossipReceived(slot, now)) {
             core.log.info(
                 "slot-heard",
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/entry/EntryDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/entry/EntryDaemon.kt
@@ -52,9 +52,9 @@
             domain = settings.domain,
             configuration = core.configuration,
             membership = core.membership,
-            routing = RoutingController(settings.name.text, settings.domain, core.options.choice, core.random),
+            routing = RoutingController(settings.name.text, settings.domain, core.options.loadBalancing, core.random),
             admission = AdmissionController(core.options.queue, settings.limits.queue, core.invariants),
-            readers = ResponseBufferController(core.options.readers ?: settings.limits.readers, core.invariants),
+            readers = ResponseBufferController(core.options.responseBuffers ?: settings.limits.responseBuffers, core.invariants),
             service = core.service,
         )
     private val reports = TargetReportLoop(core, control)
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/settings/DaemonSettings.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/settings/DaemonSettings.kt
@@ -47,7 +47,7 @@
 /** Limits on the requests and bytes that the daemon may hold. */
 data class LimitSettings(
     val queue: QueueBounds,
-    val readers: ResponseBufferPolicy,
+    val responseBuffers: ResponseBufferPolicy,
     val weights: WeightFetchLimits,
     val uploadBytes: Long,
 )
@@ -66,7 +66,7 @@
 val DEFAULT_LIMIT_SETTINGS =
     LimitSettings(
         queue = QueueBounds(),
-        readers = ResponseBufferPolicy.Windowed(),
+        responseBuffers = ResponseBufferPolicy.Windowed(),
         weights = WeightFetchLimits(),
         uploadBytes = 16_000_000,
     )
@@ -140,7 +140,7 @@
 private fun Raise<Failure.Malformed>.readLimits(section: IniSection): LimitSettings =
     LimitSettings(
         queue = readQueue(section),
-        readers = readReaders(section),
+        responseBuffers = readResponseBuffers(section),
         weights = WeightFetchLimits(memoryBytes = positive(section, "weight-memory-bytes", DEFAULT_LIMIT_SETTINGS.weights.memoryBytes)),
         uploadBytes = positive(section, "upload-bytes", DEFAULT_LIMIT_SETTINGS.uploadBytes),
     )
@@ -151,7 +151,7 @@
     return QueueBounds(requests.coerceAtMost(Int.MAX_VALUE.toLong()).toInt(), positive(section, "queue-bytes", default.bytes))
 }
 
-private fun Raise<Failure.Malformed>.readReaders(section: IniSection): ResponseBufferPolicy {
+private fun Raise<Failure.Malformed>.readResponseBuffers(section: IniSection): ResponseBufferPolicy {
     val default = ResponseBufferPolicy.Windowed()
     val window = positive(section, "reader-window-bytes", default.window)
     return default.copy(window = window, budget = positive(section, "reader-budget-bytes", default.budget))
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetDaemon.kt
@@ -50,7 +50,7 @@
             configuration = core.configuration,
             membership = core.membership,
             limits = ConcurrencyLimitController(core.options.limit, core.invariants),
-            repeats = IdempotencyController(slot.target, core.options.repeats, core.invariants, core.clock.now(), startedAt),
+            idempotency = IdempotencyController(slot.target, core.options.idempotency, core.invariants, core.clock.now(), startedAt),
             switch = VersionSwitchController(slot.target, startedAt),
             weights = WeightFetchController(self(), core.options.sources, settings.limits.weights, core.invariants),
             service = core.service,
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetRpcHandler.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetRpcHandler.kt
@@ -55,10 +55,10 @@
     override fun reports(): Flow<TargetReport> =
         flow {
             while (true) {
-                val sent = control.reported.value
+                val sent = control.latestReport.value
                 emit(sent)
                 delay(MIN_REPORT_INTERVAL)
-                withTimeoutOrNull(HEARTBEAT_INTERVAL - MIN_REPORT_INTERVAL) { control.reported.first { isSignificantChange(it, sent) } }
+                withTimeoutOrNull(HEARTBEAT_INTERVAL - MIN_REPORT_INTERVAL) { control.latestReport.first { isSignificantChange(it, sent) } }
             }
         }
 
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/Demo.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/Demo.kt
@@ -30,7 +30,8 @@
 fun main(arguments: Array<String>) {
     allowManyServers()
     val names = if (arguments.firstOrNull() == "tadla") tadla else festival
-    val verdict = runBlocking { Demo(names, site { daemonOptions = { repeats = IdempotencyPolicy(clockSkew = 200.milliseconds) } }).run() }
+    val verdict =
+        runBlocking { Demo(names, site { daemonOptions = { idempotency = IdempotencyPolicy(clockSkew = 200.milliseconds) } }).run() }
     exitProcess(if (verdict) 0 else 1)
 }
 
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/TrafficMeasure.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/measure/TrafficMeasure.kt
@@ -65,7 +65,7 @@
 private val own = PolicySet("own") { }
 private val baseline =
     PolicySet("baseline") {
-        choice = LoadBalancingPolicy.RoundRobin
+        loadBalancing = LoadBalancingPolicy.RoundRobin
         limit = LimitPolicy.Fixed
         queue = QueuePolicy.ArrivalOrder
         readers = ResponseBufferPolicy.Unbounded
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
@@ -103,11 +103,11 @@
 /** The policies of a virtual site. */
 class VirtualOptions {
     var seed = 1
-    var choice: LoadBalancingPolicy = LoadBalancingPolicy.FreshRoom()
+    var loadBalancing: LoadBalancingPolicy = LoadBalancingPolicy.FreshRoom()
     var limit: LimitPolicy = LimitPolicy.Adaptive()
     var queue: QueuePolicy = QueuePolicy.WeightedFair
     var readers: ResponseBufferPolicy = ResponseBufferPolicy.Windowed()
-    var repeats = IdempotencyPolicy()
+    var idempotency = IdempotencyPolicy()
     var engine = EngineTraits()
     var entriesPerDomain = 2
     var latency: Duration = 2.milliseconds
@@ -226,7 +226,7 @@
     ): TargetControl {
         val now = clock.elapsed()
         val holder = WeightHolder(DaemonId(target.id.text), target.domain, RegionId(target.domain.text))
-        val startedAt = if (lives++ < objects.targets.size) clock.now() - options.repeats.retention * 2 else clock.now()
+        val startedAt = if (lives++ < objects.targets.size) clock.now() - options.idempotency.retention * 2 else clock.now()
         return TargetControl(
             thread = thread,
             clock = clock,
@@ -236,7 +236,7 @@
             configuration = ConfigurationController(invariants),
             membership = MembershipController(DaemonId(target.id.text)),
             limits = ConcurrencyLimitController(options.limit, invariants),
-            repeats = IdempotencyController(target.id, options.repeats, invariants, startedAt, now),
+            idempotency = IdempotencyController(target.id, options.idempotency, invariants, startedAt, now),
             switch = VersionSwitchController(target.id, now),
             weights = WeightFetchController(holder, SourcePolicy.Striped, WeightFetchLimits(), invariants),
             service = ServingController(target.domain, target.id),
@@ -255,7 +255,7 @@
                 domain = domain,
                 configuration = ConfigurationController(invariants),
                 membership = MembershipController(name),
-                routing = RoutingController(name.text, domain, options.choice, random),
+                routing = RoutingController(name.text, domain, options.loadBalancing, random),
                 admission = AdmissionController(options.queue, QueueBounds(), invariants),
                 readers = ResponseBufferController(options.readers, invariants),
                 service = ServingController(domain, null),
@@ -326,7 +326,7 @@
     ) {
         val found = targets[target]
         if (found == null || !found.reachable || !entry.reachable) return entry.control.onDisconnected(target)
-        entry.control.onTargetReport(found.control.reported.value)
+        entry.control.onTargetReport(found.control.latestReport.value)
     }
 
     private suspend fun tick(entry: VirtualEntry) {
--- a/stand-ins/src/test/kotlin/lagoonrudder/standins/WholePathTest.kt
+++ b/stand-ins/src/test/kotlin/lagoonrudder/standins/WholePathTest.kt
@@ -23,7 +23,7 @@
         }
 
         test("an order with an idempotency key runs once, and a retry through another entry daemon gets the same response") {
-            site { daemonOptions = { repeats = IdempotencyPolicy(clockSkew = 50.milliseconds) } }.use { site ->
+            site { daemonOptions = { idempotency = IdempotencyPolicy(clockSkew = 50.milliseconds) } }.use { site ->
                 site.start(sampleObjects(festival))
                 site.awaitReady()
                 delay(100.milliseconds)
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AdmissionFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/AdmissionFilter.kt
@@ -37,10 +37,10 @@
         val owner = key?.let { keyOwnerOf(context, it) }
         if (key != null && owner == null) return Outcome.Refused(Refusal.NoTarget(RETRY), Step.CHOOSE_TARGET, Peer.SELF)
         call.ticket = ticketFor(context, owner)
-        return when (val dispatched = awaitDispatch(control, call.ticket) { enqueue(it) }) {
-            is DispatchResult.Refused -> Outcome.Refused(dispatched.refusal, Step.ADMIT, Peer.SELF)
+        return when (val result = awaitDispatch(control, call.ticket) { enqueue(it) }) {
+            is DispatchResult.Refused -> Outcome.Refused(result.refusal, Step.ADMIT, Peer.SELF)
             is DispatchResult.Sent -> {
-                call.choice = dispatched
+                call.choice = result
                 next.proceed(call)
             }
         }
@@ -58,7 +58,7 @@
         context: RequestContext,
         owner: TargetId?,
     ): Ticket {
-        val waiting =
+        val queued =
             QueuedRequest(
                 id = context.request,
                 queueKey = QueueKey(context.fleet.id, owner),
@@ -69,7 +69,7 @@
                 bytes = context.bytes,
                 deadline = context.deadline,
             )
-        val need =
+        val routingRequest =
             RoutingRequest(
                 fleet = context.fleet.id,
                 owner = owner,
@@ -78,7 +78,7 @@
                 prefix = (context.work as? Work.Generate)?.let { prefixOf(it.prompt) },
                 excluded = emptySet(),
             )
-        return Ticket(waiting, need)
+        return Ticket(queued, routingRequest)
     }
 
     private companion object {
@@ -92,16 +92,16 @@
     ticket: Ticket,
     join: EntryControl.(Ticket) -> Deferred<DispatchResult>,
 ): DispatchResult {
-    var dispatched: DispatchResult? = null
+    var received: DispatchResult? = null
     val pending = control.thread.decide { control.join(ticket) }
     try {
-        return pending.await().also { dispatched = it }
+        return pending.await().also { received = it }
     } finally {
-        if (dispatched == null) {
+        if (received == null) {
             withContext(NonCancellable) {
                 control.thread.decide {
                     val result = if (pending.isCompleted) pending.getCompletedOrNull() else null
-                    if (result is DispatchResult.Sent) control.ended(ticket, result.target, failed = false) else control.withdraw(ticket)
+                    if (result is DispatchResult.Sent) control.release(ticket, result.target, failed = false) else control.withdraw(ticket)
                 }
             }
         }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryCall.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryCall.kt
@@ -62,8 +62,8 @@
 
 /** A request's queue entry and its requirements on a target. */
 data class Ticket(
-    val waiting: QueuedRequest,
-    val need: RoutingRequest,
+    val queued: QueuedRequest,
+    val routingRequest: RoutingRequest,
 )
 
 class EntryCall(
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryControl.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/EntryControl.kt
@@ -50,10 +50,10 @@
     fun enqueue(ticket: Ticket): CompletableDeferred<DispatchResult> {
         val now = clock.elapsed()
         val pending = CompletableDeferred<DispatchResult>()
-        when (val decision = dispatch.enqueue(ticket.waiting, ticket.need, now)) {
-            is QueueDecision.Refused -> pending.complete(DispatchResult.Refused(ticket.waiting.id, decision.refusal))
+        when (val decision = dispatch.enqueue(ticket.queued, ticket.routingRequest, now)) {
+            is QueueDecision.Refused -> pending.complete(DispatchResult.Refused(ticket.queued.id, decision.refusal))
             QueueDecision.Queued -> {
-                pendingDispatches[ticket.waiting.id] = pending
+                pendingDispatches[ticket.queued.id] = pending
                 dispatchWaiting()
             }
         }
@@ -63,24 +63,24 @@
     /** Queues a request again whose attempt produced no response. */
     fun requeue(ticket: Ticket): CompletableDeferred<DispatchResult> {
         val pending = CompletableDeferred<DispatchResult>()
-        pendingDispatches[ticket.waiting.id] = pending
-        dispatch.requeue(ticket.waiting, ticket.need, clock.elapsed())
+        pendingDispatches[ticket.queued.id] = pending
+        dispatch.requeue(ticket.queued, ticket.routingRequest, clock.elapsed())
         dispatchWaiting()
         return pending
     }
 
     fun withdraw(ticket: Ticket) {
-        pendingDispatches.remove(ticket.waiting.id)
-        dispatch.withdraw(ticket.waiting)
+        pendingDispatches.remove(ticket.queued.id)
+        dispatch.withdraw(ticket.queued)
     }
 
-    fun ended(
+    fun release(
         ticket: Ticket,
         target: TargetId,
         failed: Boolean,
-        heldBack: Duration = Duration.ZERO,
+        blockedByCaller: Duration = Duration.ZERO,
     ) {
-        dispatch.onRequestEnded(ticket.waiting, target, failed, heldBack, clock.elapsed())
+        dispatch.onRequestEnded(ticket.queued, target, failed, blockedByCaller, clock.elapsed())
         dispatchWaiting()
     }
 
@@ -117,7 +117,7 @@
     }
 
     fun dispatchWaiting() {
-        for (dispatched in dispatch.dispatchWaiting(clock.elapsed())) pendingDispatches.remove(dispatched.request)?.complete(dispatched)
+        for (result in dispatch.dispatchWaiting(clock.elapsed())) pendingDispatches.remove(result.request)?.complete(result)
     }
 
     /** Reserves the buffer of a response; returns false if the memory budget does not allow it. */
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/RelayFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/RelayFilter.kt
@@ -77,7 +77,7 @@
     }
 
     private suspend fun refuse(call: EntryCall): Outcome {
-        control.thread.decide { control.ended(call.ticket, call.choice.target, failed = false) }
+        control.thread.decide { control.release(call.ticket, call.choice.target, failed = false) }
         return Outcome.Refused(Refusal.Overloaded(RETRY), Step.RELAY, Peer.SELF)
     }
 
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/ResponseRelay.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/ResponseRelay.kt
@@ -47,7 +47,7 @@
         private set
 
     /** The total time that the response was delayed by a caller that reads slowly. */
-    var heldBack: Duration = Duration.ZERO
+    var blockedByCaller: Duration = Duration.ZERO
         private set
 
     /** The number of bytes received so far, at which a resumed attempt must start. */
@@ -78,7 +78,7 @@
     private suspend fun enqueueChunk(chunk: ByteArray) {
         val startedAt = clock.elapsed()
         awaitBufferSpace(chunk.size.toLong())
-        heldBack += clock.elapsed() - startedAt
+        blockedByCaller += clock.elapsed() - startedAt
         bufferedBytes.addAndGet(chunk.size.toLong())
         outgoing.send(chunk)
     }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/entry/SendFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/entry/SendFilter.kt
@@ -115,14 +115,14 @@
         control.thread.decide { control.retries.onFirstAttempt() }
         while (true) {
             attempt++
-            val ended =
+            val outcome =
                 when (val result = recorded { attempt() }) {
                     is AttemptResult.Ended -> return result.outcome
                     is AttemptResult.Rejected -> onRejected(result)
                     is AttemptResult.Lost -> onLost(result.failure)
                     AttemptResult.Parked -> awaitDrained()
                 }
-            if (ended != null) return ended
+            if (outcome != null) return outcome
             awaitTarget()?.let { return it }
         }
     }
@@ -140,12 +140,12 @@
     private fun recordResult(result: AttemptResult?) {
         when (result) {
             is AttemptResult.Rejected -> control.onRejected(target, result.load)
-            is AttemptResult.Lost -> control.ended(ticket, target, failed = true)
+            is AttemptResult.Lost -> control.release(ticket, target, failed = true)
             is AttemptResult.Ended -> {
                 result.load?.let { control.onLoadUpdate(target, it) }
-                control.ended(ticket, target, failed = result.outcome is Outcome.Unknown, heldBack = relay.heldBack)
+                control.release(ticket, target, failed = result.outcome is Outcome.Unknown, blockedByCaller = relay.blockedByCaller)
             }
-            AttemptResult.Parked, null -> control.ended(ticket, target, failed = false)
+            AttemptResult.Parked, null -> control.release(ticket, target, failed = false)
         }
     }
 
@@ -187,20 +187,20 @@
 
     /** Waits for another target; returns an outcome if there is none. */
     private suspend fun awaitTarget(): Outcome? {
-        if (relay.started) ticket = ticket.copy(waiting = ticket.waiting.copy(deadline = clock.elapsed() + limits.resume))
-        val dispatched = awaitDispatch(control, ticket) { requeue(it) }
-        return when (dispatched) {
-            is DispatchResult.Refused -> finalOutcome(dispatched.refusal, Peer.SELF)
+        if (relay.started) ticket = ticket.copy(queued = ticket.queued.copy(deadline = clock.elapsed() + limits.resume))
+        val result = awaitDispatch(control, ticket) { requeue(it) }
+        return when (result) {
+            is DispatchResult.Refused -> finalOutcome(result.refusal, Peer.SELF)
             is DispatchResult.Sent -> {
-                target = dispatched.target
+                target = result.target
                 null
             }
         }
     }
 
     private fun exclude(target: TargetId) {
-        if (ticket.need.owner != null) return
-        ticket = ticket.copy(need = ticket.need.copy(excluded = ticket.need.excluded + target))
+        if (ticket.routingRequest.owner != null) return
+        ticket = ticket.copy(routingRequest = ticket.routingRequest.copy(excluded = ticket.routingRequest.excluded + target))
     }
 
     private suspend fun attempt(): AttemptResult {
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/AdmissionFilters.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/AdmissionFilters.kt
@@ -134,7 +134,7 @@
         next: Next<TargetCall>,
     ): Outcome {
         val permit = call.run.permit ?: return next.proceed(call)
-        val decision = control.thread.decide { control.repeats.beginRun(permit.key, permit.number, clock.elapsed()) }
+        val decision = control.thread.decide { control.idempotency.beginRun(permit.key, permit.number, clock.elapsed()) }
         return when (decision) {
             RunDecision.Run -> next.proceed(call)
             is RunDecision.Refused -> refused(decision.refusal, Step.GUARD_REPEATS)
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/KeyReservations.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/KeyReservations.kt
@@ -32,7 +32,7 @@
 
     suspend fun surrender(request: SurrenderRequest): SurrenderResult {
         awaitRevision(request.revision.number)
-        return control.thread.decide { control.repeats.surrender(request.key, clock.elapsed(), clock.now()) }
+        return control.thread.decide { control.idempotency.surrender(request.key, clock.elapsed(), clock.now()) }
     }
 
     private fun decide(
@@ -41,7 +41,7 @@
     ): IdempotencyDecision {
         val closed = control.closed() ?: control.switch.refusal()
         if (closed != null) return IdempotencyDecision.Refused(closed)
-        return control.repeats.reserve(request.key, request.body, clock.elapsed(), clock.now(), cleared)
+        return control.idempotency.reserve(request.key, request.body, clock.elapsed(), clock.now(), cleared)
     }
 
     /** Asks [owner] to release the key; returns null if it did so without having seen a request with that key. */
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/RunFilter.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/RunFilter.kt
@@ -103,7 +103,7 @@
             if (event.version != call.version) return onWrongVersion("the engine ended with version ${event.version.text}")
             if (!verifier.matchesEnd(event.length, event.checksum)) return failed(damaged("response length or checksum mismatch"))
             invariants.check(started, Invariant.WHOLE_WEIGHTS_ONLY, Step.RUN, PEER) { "request=${call.run.request.text}" }
-            call.emit(RunEvent.End(event.length, verifier.checksum, currentRoom()))
+            call.emit(RunEvent.End(event.length, verifier.checksum, currentLoad()))
             return Outcome.Completed(event.length, event.version)
         }
 
@@ -160,8 +160,8 @@
     ) {
         val now = clock.elapsed()
         response.fold(
-            { if (provesNotRun(it)) control.repeats.onNotRun(permit.key) else control.repeats.onRunLost(permit.key, now) },
-            { control.repeats.onRunEnded(permit.key, it, now) },
+            { if (provesNotRun(it)) control.idempotency.onNotRun(permit.key) else control.idempotency.onRunLost(permit.key, now) },
+            { control.idempotency.onRunEnded(permit.key, it, now) },
         )
     }
 
@@ -175,11 +175,11 @@
         verifier.append(0, response.body)
         call.emit(RunEvent.Head(call.run.request, call.run.attempt, null, response.status, response.contentType))
         call.emit(RunEvent.Bytes(0, response.body, checksumOf(response.body)))
-        call.emit(RunEvent.End(verifier.length, verifier.checksum, currentRoom()))
+        call.emit(RunEvent.End(verifier.length, verifier.checksum, currentLoad()))
         return Outcome.Completed(verifier.length, null)
     }
 
-    private suspend fun currentRoom() = control.thread.decide { control.limits.load() }
+    private suspend fun currentLoad() = control.thread.decide { control.limits.load() }
 
     private fun plainFailure(failure: Failure): Outcome =
         if (provesNotRun(failure)) Outcome.Refused(Refusal.Overloaded(RETRY), Step.RUN, PEER) else Outcome.Unknown(failure)
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/TargetControl.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/TargetControl.kt
@@ -48,7 +48,7 @@
     val configuration: ConfigurationController,
     val membership: MembershipController,
     val limits: ConcurrencyLimitController,
-    val repeats: IdempotencyController,
+    val idempotency: IdempotencyController,
     val switch: VersionSwitchController,
     val weights: WeightFetchController,
     val service: ServingController,
@@ -66,7 +66,7 @@
     val revision: StateFlow<Long> = revisions
 
     /** The reports that are sent to entry daemons. */
-    val reported: StateFlow<TargetReport> = reports
+    val latestReport: StateFlow<TargetReport> = reports
 
     /** Handles a new active configuration or a change in the list of instances. */
     fun configured() {
@@ -196,7 +196,7 @@
             configuration.dump(),
             membership.dump(clock.elapsed()),
             limits.dump(),
-            repeats.dump(),
+            idempotency.dump(),
             switch.dump(),
             weights.dump(),
         )
@@ -213,7 +213,7 @@
                 .filter(objects::inService)
                 .map { it.id }
         switch.configure(fleet, fleet.version?.let { objects.versions[it] }, inService)
-        if (fleet.kind == FleetKind.PLAIN) repeats.configure(keyOwners(objects, fleet), clock.elapsed(), clock.now())
+        if (fleet.kind == FleetKind.PLAIN) idempotency.configure(keyOwners(objects, fleet), clock.elapsed(), clock.now())
     }
 
     private fun report(): TargetReport {
--- a/wire/src/main/kotlin/lagoonrudder/wire/messages/DirectMessages.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/messages/DirectMessages.kt
@@ -119,7 +119,7 @@
     SlotMessage(backEnd.toString(), born, held?.model?.text.orEmpty(), held?.number?.number ?: 0, held?.layers ?: 0, closed)
 
 /** Returns null if the address of the back end is invalid. */
-fun SlotMessage.toSlotWord(): SlotWord? {
+fun SlotMessage.toGossipSlot(): SlotWord? {
     val held = if (model.isEmpty()) null else HeldWeights(ModelId(model), WeightNumber(number), layers)
     return addressOrNull(backEnd)?.let { SlotWord(it, born, held, closed) }
 }
