--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectSettings.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/DirectSettings.kt
@@ -95,7 +95,7 @@
 private fun Raise<Failure.Malformed>.slot(section: IniSection): DirectSlotSettings? =
     with(section) {
         val backEnd = optionalText("back-end") ?: return null
-        val address = addressOrNull(backEnd) ?: raise(malformed("back-end", "expected an IP number and a port, found \"$backEnd\""))
+        val address = addressOrNull(backEnd) ?: raise(malformed("back-end", "expected an IP address and a port, found \"$backEnd\""))
         DirectSlotSettings(ServiceId(text("service")), address)
     }
 
--- a/wire/src/main/kotlin/lagoonrudder/wire/documents/IniSection.kt
+++ b/wire/src/main/kotlin/lagoonrudder/wire/documents/IniSection.kt
@@ -108,7 +108,7 @@
     private fun Raise<Failure.Malformed>.address(
         key: String,
         text: String,
-    ): Address = addressOrNull(text) ?: raise(malformed(key, "expected an IP number and a port such as 127.0.0.1:7001, found \"$text\""))
+    ): Address = addressOrNull(text) ?: raise(malformed(key, "expected an IP address and a port such as 127.0.0.1:7001, found \"$text\""))
 }
 
 /** Splits [text] into sections. Repeated sections and repeated keys are errors. */
