--- a/control/src/main/kotlin/lagoonrudder/control/IdempotencyController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/IdempotencyController.kt
@@ -3,9 +3,9 @@
  *
  * All requests of one key go to one owner, which depends only on the published object set. The owner remembers the keys
  * that it ran for [IdempotencyPolicy.retention]. It never runs a key whose history it can't know: a key that may have run
- * before this process started, or before this target became its owner, is answered as uncertain. A key that carries its
+ * before this process started, or before this target became its owner, is reported as uncertain. A key that carries its
  * time of issue (a version 7 UUID) proves that it is newer than that; any other key has to wait until this process has
- * been recording keys for the whole retention time.
+ * been recording keys for the full retention time.
  */
 package lagoonrudder.control
 
--- a/control/src/main/kotlin/lagoonrudder/control/VersionSwitchController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/VersionSwitchController.kt
@@ -1,9 +1,9 @@
 /**
  * Controls when a target switches to another version, and which engine order performs the switch.
  *
- * The targets of a fleet have one sequence that all processes know. If w targets may be unavailable at once, the target at
- * position i waits until the target at position i-w is done, and all targets wait for the first. So at most w targets are
- * unavailable, without a count of the whole fleet, and a version that fails on the first target stops there. An engine is
+ * The targets of a fleet have one sequence that all processes know. If w targets may be unavailable simultaneously, the
+ * target at position i waits until the target at position i-w is done, and all targets wait for the first. So at most w
+ * targets are unavailable, without a count of the entire fleet, and a version that fails on the first target stops there. An engine is
  * ordered to load a version only when the version is complete and verified. Fencing numbers are taken from the wall clock
  * and are never below the number that the engine reports, so they increase across restarts without stored state. A probe
  * without side effects finds out whether the engine checks them.
--- a/control/src/main/kotlin/lagoonrudder/control/WeightFetchController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/WeightFetchController.kt
@@ -1,7 +1,7 @@
 /**
  * Schedules the chunks that a target daemon fetches, selects their sources, and limits the chunks that it keeps.
  *
- * Every chunk is verified against its digest on arrival and is available to peers at once. A source that sends damaged
+ * Every chunk is verified against its digest on arrival and is available to peers immediately. A source that sends damaged
  * chunks, fails or is slow is avoided for a back-off period. Fetches between regions are limited to a share of the link, so
  * that live traffic takes precedence. A version that is no longer wanted is dropped with all its chunks.
  */
--- a/control/src/main/kotlin/lagoonrudder/control/direct/PlacementController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/PlacementController.kt
@@ -307,8 +307,8 @@
         val SWITCH_MARGIN = 1_200.milliseconds
 
         /**
-         * For this long before the margin, a back end with the older version gets no more than it can start at once, because the
-         * reports about its load may be stale.
+         * For this long before the margin, a back end with the older version gets no more than it can start immediately,
+         * because the reports about its load may be stale.
          */
         val DEADLINE_NOTICE = 1_000.milliseconds
         const val RESERVED_NEAR_DEADLINE = 3
--- a/control/src/main/kotlin/lagoonrudder/control/direct/StoreViewController.kt
+++ b/control/src/main/kotlin/lagoonrudder/control/direct/StoreViewController.kt
@@ -127,7 +127,10 @@
         now: Duration,
     ): StoreViewChange = applyChanges(changes, upTo, now, holdRemovals = now < graceUntil)
 
-    /** Applies changes that a peer has settled: its removals take effect at once, whatever the state of this process's store connection. */
+    /**
+     * Applies changes that a peer has settled: its removals take effect immediately, whatever the state of this process's
+     * store connection.
+     */
     fun applySettledChanges(
         changes: List<DecodedItem>,
         upTo: Long,
--- a/control/src/test/kotlin/lagoonrudder/control/AdmissionControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/AdmissionControllerTest.kt
@@ -105,7 +105,7 @@
             queue.dequeueAll(60).count { it.customer == CustomerId("small") } shouldBe 1
         }
 
-        test("a customer that arrives late gets its share at once although another was served ahead by priority") {
+        test("a customer that arrives late gets its share immediately although another was served ahead by priority") {
             val queue = controller()
             repeat(400) { queue.enqueue(request(it, "large", priority = 9), Duration.ZERO) }
             queue.dequeueAll(200)
--- a/control/src/test/kotlin/lagoonrudder/control/VersionSwitchControllerTest.kt
+++ b/control/src/test/kotlin/lagoonrudder/control/VersionSwitchControllerTest.kt
@@ -137,7 +137,7 @@
             switchOf(order[3], order, state(null)).step().shouldBeInstanceOf<SwitchStep.SendOrder>()
         }
 
-        test("in random switch sequences no more targets are unavailable at once than the floor permits") {
+        test("in random switch sequences no more targets are unavailable at the same time than the floor permits") {
             for (seed in 1..20) {
                 val random = Random(seed)
                 val order = targets(random.nextInt(1, 30))
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/Daemon.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/Daemon.kt
@@ -26,7 +26,7 @@
     /** Stops accepting requests, waits for those in flight to end, and closes. */
     suspend fun stop()
 
-    /** Closes at once, aborting requests in flight. */
+    /** Closes immediately, aborting requests in flight. */
     override fun close()
 }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationSyncLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/configuration/ConfigurationSyncLoop.kt
@@ -57,7 +57,7 @@
     /** Failures of each watch since its last success; the delay before the next try doubles with each. */
     private val consecutiveFailures = ConcurrentHashMap<String, Int>()
 
-    /** Starts the confirmation, the watches and the exchanges with peers; returns at once. */
+    /** Starts the confirmation, the watches and the exchanges with peers; returns immediately. */
     fun start() {
         core.scope.launch {
             confirm(START_TIMEOUT)
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/GossipLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/GossipLoop.kt
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Sends [slot] to all live entry daemons at once, without waiting for the next round. */
+    /** Sends [slot] to all live entry daemons immediately, without waiting for the next round. */
     suspend fun announce() {
         val addresses = core.thread.decide { core.peers.liveEntries(core.clock.elapsed()).mapNotNull { it.address } }
         addresses.forEach { address -> core.scope.launch { exchange(address, peersRequested = false) } }
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StagingLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StagingLoop.kt
@@ -223,9 +223,9 @@
         val handover = scheduledSwitch(manifest, before)?.handover(core.clock.elapsed()) ?: Handover.DRAIN
         val report = (if (before.held == null) reportOfSameRun(before) else closeAndDrain(before, handover)) ?: return
         val orderedAt = core.clock.elapsed()
-        when (val answer = backEnd.start(manifest.model, manifest.number, report.orders, handover)) {
-            is Either.Left -> core.log.failure("order-unanswered", answer.value, "number" to manifest.number.number)
-            is Either.Right -> logOrder(manifest, answer.value, report)
+        when (val result = backEnd.start(manifest.model, manifest.number, report.orders, handover)) {
+            is Either.Left -> core.log.failure("order-unanswered", result.value, "number" to manifest.number.number)
+            is Either.Right -> logOrder(manifest, result.value, report)
         }
         awaitLoaded(manifest, orderedAt)
     }
@@ -257,14 +257,14 @@
 
     private fun logOrder(
         manifest: WeightManifest,
-        answer: OrderResponse,
+        result: OrderResponse,
         report: BackEndReport,
     ) {
         val fields = arrayOf("number" to manifest.number.number, "orders" to report.orders, "running" to report.running)
-        when (answer) {
+        when (result) {
             OrderResponse.Accepted -> core.log.info("order-begun", *fields)
             OrderResponse.AlreadyApplied -> core.log.info("order-already-applied", *fields)
-            is OrderResponse.Declined -> core.log.warning("order-declined", *fields, "status" to answer.status, "detail" to answer.detail)
+            is OrderResponse.Declined -> core.log.warning("order-declined", *fields, "status" to result.status, "detail" to result.detail)
         }
     }
 
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StoreSyncLoop.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/StoreSyncLoop.kt
@@ -39,7 +39,7 @@
     private var lostSince: Duration? = null
     private var failures = 0
 
-    /** Cancels a pending watch and requests the store at once, for example after a pause of the process. */
+    /** Cancels a pending watch and requests the store immediately, for example after a pause of the process. */
     fun pollNow() {
         pollRequested = true
         pendingRequest?.cancel()
@@ -86,8 +86,8 @@
         return store.watch(after, wait).map { watched ->
             when (watched) {
                 is StoreWatchResult.Changes -> {
-                    val items = watched.answer.items.map { readItem(it) }
-                    applyUpdate { core.storeView.applyChanges(items, watched.answer.at, core.clock.elapsed()) }
+                    val items = watched.response.items.map { readItem(it) }
+                    applyUpdate { core.storeView.applyChanges(items, watched.response.at, core.clock.elapsed()) }
                 }
                 StoreWatchResult.HistoryLost -> {
                     core.log.warning("store-history-lost", "after" to after)
@@ -126,7 +126,7 @@
 
     private companion object {
         /**
-         * The store sends a change at once; this only bounds how long a dead connection goes unnoticed while no peer has
+         * The store sends a change immediately; this only bounds how long a dead connection goes unnoticed while no peer has
          * newer items.
          */
         val WATCH_TIMEOUT = 8.seconds
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/direct/WeightFetcher.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/direct/WeightFetcher.kt
@@ -45,7 +45,7 @@
                 when (source) {
                     is WeightSource.Entry -> peers.chunk(source.address, manifest.model, manifest.number, index)
                     is WeightSource.Origin ->
-                        OriginClient(core.http, source.address).piece(manifest.model, manifest.number, index)
+                        OriginClient(core.http, source.address).chunk(manifest.model, manifest.number, index)
                 }
             fetched.flatMap { bytes ->
                 val matches = digestOf(bytes) == manifest.digests[index]
--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetRpcHandler.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetRpcHandler.kt
@@ -81,7 +81,7 @@
         val HEARTBEAT_INTERVAL = 1.seconds
         val MIN_REPORT_INTERVAL = 50.milliseconds
 
-        /** A change of the limit by more than one part in this many is reported at once. */
+        /** A change of the limit by more than one part in this many is reported immediately. */
         const val MIN_LIMIT_CHANGE_DIVISOR = 4
     }
 }
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/KeyReservations.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/KeyReservations.kt
@@ -51,12 +51,12 @@
     ): IdempotencyDecision? {
         val instance = control.thread.decide { control.membership.daemonOf(owner) }
         val revision = control.thread.decide { control.configuration.current.revision }
-        val answer = instance?.let { client.surrender(it, SurrenderRequest(request.key, revision), RELEASE_TIMEOUT).getOrNull() }
-        return when (answer) {
+        val result = instance?.let { client.surrender(it, SurrenderRequest(request.key, revision), RELEASE_TIMEOUT).getOrNull() }
+        return when (result) {
             null -> IdempotencyDecision.Uncertain("the previous owner ${owner.text} of the key can't be reached")
             SurrenderResult.Released -> null
-            is SurrenderResult.AlreadyRan -> IdempotencyDecision.AlreadyRan(answer.response)
-            is SurrenderResult.Uncertain -> IdempotencyDecision.Uncertain(answer.detail)
+            is SurrenderResult.AlreadyRan -> IdempotencyDecision.AlreadyRan(result.response)
+            is SurrenderResult.Uncertain -> IdempotencyDecision.Uncertain(result.detail)
         }
     }
 
--- a/traffic/src/test/kotlin/lagoonrudder/traffic/direct/DirectSendFilterTest.kt
+++ b/traffic/src/test/kotlin/lagoonrudder/traffic/direct/DirectSendFilterTest.kt
@@ -70,7 +70,7 @@
 private sealed class Behaviour {
     data object Unreachable : Behaviour()
 
-    data class Answers(
+    data class Replies(
         val events: List<ResponseEvent>,
     ) : Behaviour()
 
@@ -90,7 +90,7 @@
         attempts += attempt
         return when (val behaviour = behaviours.removeFirst()) {
             Behaviour.Unreachable -> Failure.Unreachable(Step.CONNECT, Peer(PeerRole.TARGET, "t"), "refused").left()
-            is Behaviour.Answers -> FakeAttempt(behaviour.events, silent = false).right()
+            is Behaviour.Replies -> FakeAttempt(behaviour.events, silent = false).right()
             is Behaviour.Silent -> FakeAttempt(behaviour.events, silent = true).right()
         }
     }
@@ -150,9 +150,9 @@
 
 private fun text(vararg numbers: Int) = numbers.joinToString("") { "id: $it\ndata: $it\n\n" }
 
-private val NOT_RUN = Behaviour.Answers(listOf(head(503, Execution.NOT_RUN), ResponseEvent.End))
-private val RESET = Behaviour.Answers(emptyList())
-private val WHOLE = Behaviour.Answers(listOf(head(), bytes("done"), ResponseEvent.End))
+private val NOT_RUN = Behaviour.Replies(listOf(head(503, Execution.NOT_RUN), ResponseEvent.End))
+private val RESET = Behaviour.Replies(emptyList())
+private val SUCCESS = Behaviour.Replies(listOf(head(), bytes("done"), ResponseEvent.End))
 
 @OptIn(ExperimentalCoroutinesApi::class)
 private class Scene(
@@ -190,7 +190,7 @@
             RetryBudgetShare(RetryBudgetBounds(0.2, 10.seconds, 100.0)),
         )
     val link = FakeClient(behaviours.toMutableList())
-    val answer = FakeResponse()
+    val response = FakeResponse()
     val inFlight get() = placement.inFlight()
     private val chain = FilterChain(directFilters(control, link, Random(1)) { _, _ -> })
 
@@ -239,7 +239,7 @@
         timeLeft: Duration = 4.seconds,
     ): Outcome {
         val request = DirectRequest(RequestId("r"), "POST", "host", path, null, timeLeft, null, null, emptyList(), ByteArray(0))
-        return chain.run(DirectCall(request, answer, clock.elapsed()))
+        return chain.run(DirectCall(request, response, clock.elapsed()))
     }
 }
 
@@ -250,7 +250,7 @@
     FunSpec({
         test("an at-most-once request is not retried after a reset, and its outcome is unknown") {
             runTest {
-                val scene = Scene(this, RequestKind.AtMostOnce, 2, RESET, WHOLE)
+                val scene = Scene(this, RequestKind.AtMostOnce, 2, RESET, SUCCESS)
                 scene.run().shouldBeInstanceOf<Outcome.Unknown>()
                 scene.link.attempts shouldHaveSize 1
             }
@@ -258,12 +258,12 @@
 
         test("an at-most-once request is retried after proof that it did not run, and if no connection could be opened") {
             runTest {
-                val scene = Scene(this, RequestKind.AtMostOnce, 1, NOT_RUN, Behaviour.Unreachable, WHOLE)
+                val scene = Scene(this, RequestKind.AtMostOnce, 1, NOT_RUN, Behaviour.Unreachable, SUCCESS)
                 scene.run().shouldBeInstanceOf<Outcome.Completed>()
                 scene.link.attempts
                     .map { it.backEnd.id }
                     .toSet() shouldHaveSize 3
-                scene.answer.body.toString() shouldBe "done"
+                scene.response.body.toString() shouldBe "done"
             }
         }
 
@@ -278,7 +278,7 @@
 
         test("an idempotent request is retried elsewhere after a reset, but at no more back ends than its route allows") {
             runTest {
-                val scene = Scene(this, RequestKind.Idempotent, 2, RESET, RESET, WHOLE)
+                val scene = Scene(this, RequestKind.Idempotent, 2, RESET, RESET, SUCCESS)
                 scene.run().shouldBeInstanceOf<Outcome.Unknown>()
                 scene.link.attempts shouldHaveSize 2
             }
@@ -286,23 +286,23 @@
 
         test("an idempotent request is retried once after an error response, and the error is forwarded unchanged") {
             runTest {
-                val failed = Behaviour.Answers(listOf(head(500), bytes("bad"), ResponseEvent.End))
+                val failed = Behaviour.Replies(listOf(head(500), bytes("bad"), ResponseEvent.End))
                 val scene = Scene(this, RequestKind.Idempotent, 2, failed, failed)
                 scene.run().shouldBeInstanceOf<Outcome.Completed>()
-                scene.answer.heads
+                scene.response.heads
                     .single()
                     .status shouldBe 500
-                scene.answer.body.toString() shouldBe "bad"
+                scene.response.body.toString() shouldBe "bad"
             }
         }
 
         test("the error response to an at-most-once request is forwarded without a retry") {
             runTest {
                 val scene =
-                    Scene(this, RequestKind.AtMostOnce, 2, Behaviour.Answers(listOf(head(500), bytes("bad"), ResponseEvent.End)), WHOLE)
+                    Scene(this, RequestKind.AtMostOnce, 2, Behaviour.Replies(listOf(head(500), bytes("bad"), ResponseEvent.End)), SUCCESS)
                 scene.run()
                 scene.link.attempts shouldHaveSize 1
-                scene.answer.heads
+                scene.response.heads
                     .single()
                     .status shouldBe 500
             }
@@ -310,57 +310,57 @@
 
         test("a response without proof of execution is never forwarded") {
             runTest {
-                val forged = Behaviour.Answers(listOf(head(200, Execution.UNPROVEN), bytes("forged"), ResponseEvent.End))
+                val forged = Behaviour.Replies(listOf(head(200, Execution.UNPROVEN), bytes("forged"), ResponseEvent.End))
                 val scene = Scene(this, RequestKind.AtMostOnce, 2, forged)
                 scene.run().shouldBeInstanceOf<Outcome.Unknown>()
-                scene.answer.body.toString() shouldBe ""
+                scene.response.body.toString() shouldBe ""
             }
         }
 
         test("a response that is truncated before it is complete is replaced") {
             runTest {
-                val broken = Behaviour.Answers(listOf(head(), bytes("do")))
-                val scene = Scene(this, RequestKind.Idempotent, 2, broken, WHOLE)
+                val broken = Behaviour.Replies(listOf(head(), bytes("do")))
+                val scene = Scene(this, RequestKind.Idempotent, 2, broken, SUCCESS)
                 scene.run().shouldBeInstanceOf<Outcome.Completed>()
-                scene.answer.body.toString() shouldBe "done"
+                scene.response.body.toString() shouldBe "done"
             }
         }
 
         test("a stream resumes after its last complete event within the same response") {
             runTest {
-                val truncated = Behaviour.Answers(listOf(head(), event(1), event(2), bytes("id: 3\nda")))
-                val rest = Behaviour.Answers(listOf(head(), event(3), event(4), ResponseEvent.End))
+                val truncated = Behaviour.Replies(listOf(head(), event(1), event(2), bytes("id: 3\nda")))
+                val rest = Behaviour.Replies(listOf(head(), event(3), event(4), ResponseEvent.End))
                 val scene = Scene(this, STREAM, 2, truncated, rest)
                 scene.run().shouldBeInstanceOf<Outcome.Completed>()
                 scene.link.attempts.map { it.resumeAfter } shouldContainExactly listOf(null, EventId(2))
-                scene.answer.heads shouldHaveSize 1
-                scene.answer.body.toString() shouldBe text(1, 2, 3, 4)
+                scene.response.heads shouldHaveSize 1
+                scene.response.body.toString() shouldBe text(1, 2, 3, 4)
             }
         }
 
         test("events that were already forwarded are not forwarded again, and a gap breaks the response") {
             runTest {
-                val truncated = Behaviour.Answers(listOf(head(), event(1), event(2)))
-                val overlapping = Behaviour.Answers(listOf(head(), event(2), event(3), ResponseEvent.End))
+                val truncated = Behaviour.Replies(listOf(head(), event(1), event(2)))
+                val overlapping = Behaviour.Replies(listOf(head(), event(2), event(3), ResponseEvent.End))
                 val scene = Scene(this, STREAM, 2, truncated, overlapping)
                 scene.run().shouldBeInstanceOf<Outcome.Completed>()
-                scene.answer.body.toString() shouldBe text(1, 2, 3)
+                scene.response.body.toString() shouldBe text(1, 2, 3)
             }
             runTest {
-                val truncated = Behaviour.Answers(listOf(head(), event(1)))
-                val gap = Behaviour.Answers(listOf(head(), event(3), ResponseEvent.End))
+                val truncated = Behaviour.Replies(listOf(head(), event(1)))
+                val gap = Behaviour.Replies(listOf(head(), event(3), ResponseEvent.End))
                 val scene = Scene(this, STREAM, 2, truncated, gap)
                 scene.run().shouldBeInstanceOf<Outcome.Broken>()
-                scene.answer.ended shouldBe false
-                scene.answer.body.toString() shouldBe text(1)
+                scene.response.ended shouldBe false
+                scene.response.body.toString() shouldBe text(1)
             }
         }
 
         test("a stream that ends inside an event is not complete") {
             runTest {
-                val scene = Scene(this, STREAM, 1, Behaviour.Answers(listOf(head(), event(1), bytes("id: 2"), ResponseEvent.End)))
+                val scene = Scene(this, STREAM, 1, Behaviour.Replies(listOf(head(), event(1), bytes("id: 2"), ResponseEvent.End)))
                 scene.run().shouldBeInstanceOf<Outcome.Broken>()
-                scene.answer.ended shouldBe false
+                scene.response.ended shouldBe false
             }
         }
 
@@ -372,11 +372,11 @@
                         STREAM,
                         2,
                         Behaviour.Silent(listOf(head(), event(1))),
-                        Behaviour.Answers(listOf(head(), event(2), ResponseEvent.End)),
+                        Behaviour.Replies(listOf(head(), event(2), ResponseEvent.End)),
                     )
                 scene.run().shouldBeInstanceOf<Outcome.Completed>()
                 testScheduler.currentTime shouldBe 1_000
-                scene.answer.body.toString() shouldBe text(1, 2)
+                scene.response.body.toString() shouldBe text(1, 2)
             }
         }
 
