--- a/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetRpcHandler.kt
+++ b/daemon/src/main/kotlin/lagoonrudder/daemon/target/TargetRpcHandler.kt
@@ -55,10 +55,10 @@
     override fun reports(): Flow<TargetReport> =
         flow {
             while (true) {
-                val sent = control.reported.value
+                val sent = control.latestReport.value
                 emit(sent)
                 delay(MIN_REPORT_INTERVAL)
-                withTimeoutOrNull(HEARTBEAT_INTERVAL - MIN_REPORT_INTERVAL) { control.reported.first { isSignificantChange(it, sent) } }
+                withTimeoutOrNull(HEARTBEAT_INTERVAL - MIN_REPORT_INTERVAL) { control.latestReport.first { isSignificantChange(it, sent) } }
             }
         }
 
@@ -81,7 +81,7 @@
         val HEARTBEAT_INTERVAL = 1.seconds
         val MIN_REPORT_INTERVAL = 50.milliseconds
 
-        /** A change of the limit by more than one part in this many is reported at once. */
+        /** A change of the limit by more than one part in this many is reported immediately. */
         const val MIN_LIMIT_CHANGE_DIVISOR = 4
     }
 }
--- a/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
+++ b/stand-ins/src/main/kotlin/lagoonrudder/standins/virtual/VirtualSite.kt
@@ -248,7 +248,7 @@
             configuration = ConfigurationController(invariants),
             membership = MembershipController(DaemonId(target.id.text)),
             limits = ConcurrencyLimitController(options.concurrencyLimit, invariants),
-            repeats = IdempotencyController(target.id, options.idempotency, invariants, startedAt, now),
+            idempotency = IdempotencyController(target.id, options.idempotency, invariants, startedAt, now),
             switch = VersionSwitchController(target.id, now),
             weights = WeightFetchController(holder, SourcePolicy.Striped, WeightFetchLimits(), invariants),
             service = ServingController(target.domain, target.id),
@@ -338,7 +338,7 @@
     ) {
         val source = targets[target]
         if (source == null || !source.reachable || !entry.reachable) return entry.control.onDisconnected(target)
-        entry.control.onTargetReport(source.control.reported.value)
+        entry.control.onTargetReport(source.control.latestReport.value)
     }
 
     private suspend fun tickLoop(entry: VirtualEntry) {
--- a/traffic/src/main/kotlin/lagoonrudder/traffic/target/KeyReservations.kt
+++ b/traffic/src/main/kotlin/lagoonrudder/traffic/target/KeyReservations.kt
@@ -32,7 +32,7 @@
 
     suspend fun surrender(request: SurrenderRequest): SurrenderResult {
         awaitRevision(request.revision.number)
-        return control.thread.decide { control.repeats.surrender(request.key, clock.elapsed(), clock.now()) }
+        return control.thread.decide { control.idempotency.surrender(request.key, clock.elapsed(), clock.now()) }
     }
 
     private fun decide(
@@ -41,7 +41,7 @@
     ): IdempotencyDecision {
         val closed = control.closed() ?: control.switch.refusal()
         if (closed != null) return IdempotencyDecision.Refused(closed)
-        return control.repeats.reserve(request.key, request.body, clock.elapsed(), clock.now(), cleared)
+        return control.idempotency.reserve(request.key, request.body, clock.elapsed(), clock.now(), cleared)
     }
 
     /** Asks [owner] to release the key; returns null if it did so without having seen a request with that key. */
@@ -51,12 +51,12 @@
     ): IdempotencyDecision? {
         val instance = control.thread.decide { control.membership.daemonOf(owner) }
         val revision = control.thread.decide { control.configuration.current.revision }
-        val answer = instance?.let { client.surrender(it, SurrenderRequest(request.key, revision), RELEASE_TIMEOUT).getOrNull() }
-        return when (answer) {
+        val result = instance?.let { client.surrender(it, SurrenderRequest(request.key, revision), RELEASE_TIMEOUT).getOrNull() }
+        return when (result) {
             null -> IdempotencyDecision.Uncertain("the previous owner ${owner.text} of the key can't be reached")
             SurrenderResult.Released -> null
-            is SurrenderResult.AlreadyRan -> IdempotencyDecision.AlreadyRan(answer.response)
-            is SurrenderResult.Uncertain -> IdempotencyDecision.Uncertain(answer.detail)
+            is SurrenderResult.AlreadyRan -> IdempotencyDecision.AlreadyRan(result.response)
+            is SurrenderResult.Uncertain -> IdempotencyDecision.Uncertain(result.detail)
         }
     }
 
